--- a/packages/control/src/__tests__/cacheWatch.spec.ts
+++ b/packages/control/src/__tests__/cacheWatch.spec.ts
@@ -9,12 +9,12 @@
 import { NEVER, type Observable } from 'rxjs'
 import {
   createCacheWatch,
-  type CacheCalls,
-  type CacheList,
-  type CacheNews,
+  type CacheClient,
+  type CacheSnapshot,
+  type CacheEvents,
 } from '../registry/cacheWatch.js'
-import type { KeptPlacement } from '../registry/feed.js'
-import { createKeptParts, type KeptPart } from '../registry/keptParts.js'
+import type { CachedPlacement } from '../registry/feed.js'
+import { createCacheDirectory, type CacheEntry } from '../registry/keptParts.js'
 import type { RaftMember } from '../raft/types.js'
 import { createControlMachine, type ControlMachine } from '../state/controlMachine.js'
 import { buildServerIdentity } from '../state/serverState.js'
@@ -24,13 +24,13 @@
 const V1 = formatCacheScope(undefined, 1)
 const V2 = formatCacheScope(undefined, 2)
 
-function createPart(scope: string, id: string, tokens: number): KeptPart {
+function createPart(scope: string, id: string, tokens: number): CacheEntry {
   return { scope, id, tokens }
 }
 
 describe('the index of kept parts', () => {
   it('reports of each part what is left in the end, and lists it', () => {
-    const kept = createKeptParts()
+    const kept = createCacheDirectory()
     const reported = kept.apply(ENGINE, [
       createPart(V1, 'a', 60),
       createPart(V1, 'b', 30),
@@ -42,7 +42,7 @@
   })
 
   it('drops at an engine what was read under earlier weights, and keeps it at a store', () => {
-    const kept = createKeptParts()
+    const kept = createCacheDirectory()
     for (const place of [ENGINE, STORE]) {
       kept.apply(place, [createPart(V1, 'a', 60)])
       kept.apply(place, [createPart(V2, 'a', 60)])
@@ -55,7 +55,7 @@
   })
 
   it('reports what is missing in a full list', () => {
-    const kept = createKeptParts()
+    const kept = createCacheDirectory()
     kept.apply(STORE, [createPart(V1, 'a', 60), createPart(V1, 'b', 30)])
     const reported = kept.replace(STORE, [createPart(V1, 'b', 30)])
     const name = formatStoreId('s:1', 7, 1)
@@ -66,7 +66,7 @@
   })
 
   it('is listed in pieces, place by place, from where a router stands and once around', () => {
-    const kept = createKeptParts()
+    const kept = createCacheDirectory()
     const ids = ['e1', 'e2', 'e3']
     for (const id of ids) {
       const parts = [createPart(V1, 'a', 60), createPart(V1, 'b', 30)]
@@ -84,7 +84,7 @@
   })
 
   it('reports one place at least, however many parts it keeps', () => {
-    const kept = createKeptParts()
+    const kept = createCacheDirectory()
     kept.apply(ENGINE, [createPart(V1, 'a', 60), createPart(V1, 'b', 30)])
     const piece = kept.takePiece({ after: '', left: Number.MAX_SAFE_INTEGER }, 1)
     expect(piece.placements).to.have.length(1)
@@ -92,7 +92,7 @@
   })
 
   it('takes no notice of parts under a scope that is not of the fleet', () => {
-    const kept = createKeptParts()
+    const kept = createCacheDirectory()
     expect(kept.apply(ENGINE, [createPart('forged', 'a', 60)])).to.deep.equal([])
   })
 })
@@ -114,10 +114,10 @@
   }
 
   function createWatch(parts: {
-    calls: CacheCalls
+    calls: CacheClient
     machine: ControlMachine
     timers: TimerService
-    reported: KeptPlacement[]
+    reported: CachedPlacement[]
     elected?: Observable<number>
   }) {
     const { calls, machine, timers, reported, elected = NEVER } = parts
@@ -133,16 +133,16 @@
   }
 
   async function watchNews(
-    news: (call: number, after: number) => CacheNews,
-    list: (call: number) => KeptPart[],
+    news: (call: number, after: number) => CacheEvents,
+    list: (call: number) => CacheEntry[],
   ) {
     const timers = createManualTimerService()
     const machine = createControlMachine()
     machine.apply({ kind: 'server.observe', server }, 1)
-    const reported: KeptPlacement[] = []
+    const reported: CachedPlacement[] = []
     const asked: number[] = []
     let lists = 0
-    const calls: CacheCalls = {
+    const calls: CacheClient = {
       waitForChanges: async (_address, after) => {
         asked.push(after)
         return news(asked.length, after)
@@ -213,7 +213,7 @@
     }
     const listed: string[] = []
     const releases: (() => void)[] = []
-    const calls: CacheCalls = {
+    const calls: CacheClient = {
       waitForChanges: () => new Promise(() => {}),
       listParts: (address) => {
         listed.push(address)
@@ -245,15 +245,15 @@
   })
 
   describe('with a new leader', () => {
-    const answer: CacheList = { epoch: 1, next: 1, parts: [createPart(V1, 'a', 9)] }
+    const answer: CacheSnapshot = { epoch: 1, next: 1, parts: [createPart(V1, 'a', 9)] }
 
     /** Watches one engine whose first answer comes when `release` is called. */
     function watchSlowEngine() {
       const timers = createManualTimerService()
       const machine = createControlMachine()
-      const reported: KeptPlacement[] = []
-      let release: (list: CacheList) => void = () => {}
-      const calls: CacheCalls = {
+      const reported: CachedPlacement[] = []
+      let release: (list: CacheSnapshot) => void = () => {}
+      const calls: CacheClient = {
         waitForChanges: () => new Promise(() => {}),
         listParts: () => new Promise((resolve) => (release = resolve)),
       }
--- a/packages/control/src/__tests__/feedHerd.spec.ts
+++ b/packages/control/src/__tests__/feedHerd.spec.ts
@@ -1,12 +1,12 @@
 import { expect } from 'chai'
-import { createHerd, type HerdOptions } from './feedHerd.js'
+import { createFeedSimulation, type FeedSimulationOptions } from './feedHerd.js'
 
 /** Time after the election within which every router must have its first table, in ms. */
 const LAST_TABLE_MS = 2_000
 /** Shorter than the least election timeout, so that the leader's heartbeats come in time, in ms. */
 const LONGEST_LAG_MS = 400
 
-const SIZES: Readonly<Record<string, HerdOptions>> = {
+const SIZES: Readonly<Record<string, FeedSimulationOptions>> = {
   // Two processes share the processor of a control instance here.
   '24 routers on an eighth of a core': {
     routers: 24,
@@ -47,7 +47,7 @@
 describe('routers that all start before a leader is elected', () => {
   for (const [name, options] of Object.entries(SIZES)) {
     it(`${name} have the table within 2 s of the election, and all that is kept`, async () => {
-      const herd = createHerd(options)
+      const herd = createFeedSimulation(options)
       await herd.run(options.electedAt + LAST_TABLE_MS)
       expect(herd.tableMs.filter((ms) => ms === undefined)).to.have.length(0)
       await herd.run(LAST_TABLE_MS)
--- a/packages/control/src/__tests__/feedHerd.ts
+++ b/packages/control/src/__tests__/feedHerd.ts
@@ -20,18 +20,18 @@
 import { TABLE_PATH, type FeedRequest } from '../registry/feed.js'
 import { createBlameRecord } from '../blame/blameRecord.js'
 import { createBlameSource } from '../blame/blameSource.js'
-import { createFeedFollower, type FeedFollower } from '../registry/feedFollower.js'
+import { createFeedClient, type FeedClient } from '../registry/feedFollower.js'
 import { createFeedSource, type FeedSource } from '../registry/feedSource.js'
 import { createTableSource, type TableRequest } from '../registry/tableSource.js'
 import { createTableHistory } from '../table/tableHistory.js'
-import { createKeptParts } from '../registry/keptParts.js'
+import { createCacheDirectory } from '../registry/keptParts.js'
 import type { RaftMember } from '../raft/types.js'
 import { createControlMachine } from '../state/controlMachine.js'
 import { buildServerIdentity } from '../state/serverState.js'
 import { createNoQuotas, NO_LIMITS, NO_QUOTAS } from './idleRecords.js'
 
 /** What starts, and on what. */
-export interface HerdOptions {
+export interface FeedSimulationOptions {
   readonly routers: number
   readonly engines: number
   /** Prompt parts that each engine keeps. */
@@ -49,8 +49,8 @@
 }
 
 /** A herd. */
-export interface Herd {
-  readonly followers: readonly FeedFollower[]
+export interface FeedSimulation {
+  readonly followers: readonly FeedClient[]
   readonly timers: ManualTimerService
   /** By router, ms from the election to its first table; undefined for none yet. */
   readonly tableMs: readonly (number | undefined)[]
@@ -167,8 +167,8 @@
   return machine
 }
 
-function createKept({ engines, partsPerEngine }: HerdOptions) {
-  const kept = createKeptParts()
+function createKept({ engines, partsPerEngine }: FeedSimulationOptions) {
+  const kept = createCacheDirectory()
   const scope = formatCacheScope(undefined, 4)
   for (let index = 0; index < engines; index += 1) {
     const place = { kind: 'engine', id: `i-${1e9 + index}`, address: 'a' } as const
@@ -183,7 +183,7 @@
 }
 
 /** Starts a herd whose routers know the first three control instances. */
-export function createHerd(options: HerdOptions): Herd {
+export function createFeedSimulation(options: FeedSimulationOptions): FeedSimulation {
   const timers = createManualTimerService()
   const machine = createMachine(options.engines)
   const kept = createKept(options)
@@ -316,7 +316,7 @@
     const place = createPlace(options.routerCores, options.routerMbps)
     keptParts.push(0)
     tableMs.push(undefined)
-    const follower = createFeedFollower({
+    const follower = createFeedClient({
       router: `router-${index}`,
       seeds: () => urls.slice(0, 3),
       client: createClient(place),
@@ -352,7 +352,7 @@
       await new Promise((resolve) => setImmediate(resolve))
     }
   }
-  const run: Herd['run'] = async (duration) => {
+  const run: FeedSimulation['run'] = async (duration) => {
     for (let spent = 0; spent < duration; spent += STEP_MS) {
       timers.advance(STEP_MS)
       await settle()
--- a/packages/control/src/__tests__/largeEntries.spec.ts
+++ b/packages/control/src/__tests__/largeEntries.spec.ts
@@ -1,6 +1,6 @@
 import { createLogger } from '@spoolgate/core'
 import { expect } from 'chai'
-import { createTablePuts } from '../registry/tablePuts.js'
+import { createTableWriter } from '../registry/tablePuts.js'
 import { buildDocument } from './feedHerd.js'
 import { createTestGroup, type TestGroup, type TestMember } from './group.js'
 
@@ -46,7 +46,7 @@
     group = await createTestGroup(['a', 'b', 'c'])
     const { member, machine } = await group.findLeader()
     const logger = createLogger({ write: () => {} })
-    const puts = createTablePuts({ member, table: machine.table, logger })
+    const puts = createTableWriter({ member, table: machine.table, logger })
     const put = async (version: number, document: string) => {
       let isDone = false
       void puts.put({ version, document }).then(() => (isDone = true))
--- a/packages/control/src/__tests__/tableFetch.spec.ts
+++ b/packages/control/src/__tests__/tableFetch.spec.ts
@@ -6,7 +6,7 @@
   type HttpClient,
 } from '@spoolgate/core'
 import { expect } from 'chai'
-import { createTableFetch } from '../registry/tableFetch.js'
+import { createTableFetcher } from '../registry/tableFetch.js'
 import type { TableRequest } from '../registry/tableSource.js'
 import { applyTableUpdate, buildTableUpdate, type HeldTable } from '../table/tableUpdate.js'
 
@@ -30,7 +30,7 @@
     asked.push(json)
     return answer(json, url)
   }) as HttpClient['sendJson']
-  const fetch = createTableFetch({
+  const fetch = createTableFetcher({
     listInstances: () => ['http://a', 'http://b', 'http://c'],
     client: { sendJson } as HttpClient,
     timers,
--- a/packages/control/src/__tests__/tableHerd.spec.ts
+++ b/packages/control/src/__tests__/tableHerd.spec.ts
@@ -6,7 +6,7 @@
  * version after the other crowded out all else; an answer that was only long counted as a lost leader.
  */
 import { expect } from 'chai'
-import { createHerd, type HerdOptions } from './feedHerd.js'
+import { createFeedSimulation, type FeedSimulationOptions } from './feedHerd.js'
 
 /** A change with few routes must be in force everywhere so soon after its acceptance, in ms. */
 const SMALL_MS = 300
@@ -16,7 +16,7 @@
 /** Time between two changes that follow one another closely, in ms. */
 const BETWEEN_MS = 100
 
-interface LargeTable extends HerdOptions {
+interface LargeTable extends FeedSimulationOptions {
   readonly routes: number
 }
 
@@ -62,7 +62,7 @@
 describe('routers of a fleet whose table is changed', () => {
   for (const [name, options] of Object.entries(SIZES)) {
     it(`${name}: have each change in time, and never take a long answer for a lost leader`, async () => {
-      const herd = createHerd(options)
+      const herd = createFeedSimulation(options)
       await herd.run(options.electedAt + SETTLED_MS)
       const linesBefore = herd.lines.length
       herd.putTable(8, options.routes)
--- a/packages/control/src/__tests__/tablePuts.spec.ts
+++ b/packages/control/src/__tests__/tablePuts.spec.ts
@@ -1,6 +1,6 @@
 import { createLogger, SpoolgateError } from '@spoolgate/core'
 import { expect } from 'chai'
-import { createTablePuts } from '../registry/tablePuts.js'
+import { createTableWriter } from '../registry/tablePuts.js'
 import { createTableState, type PutTable, type PutUpdate } from '../state/tableState.js'
 import { buildTableUpdate } from '../table/tableUpdate.js'
 
@@ -21,7 +21,7 @@
     if (other) table.put(other)
     return table.put(put)
   }
-  return { table, proposed, puts: createTablePuts({ member: { propose }, table, logger }) }
+  return { table, proposed, puts: createTableWriter({ member: { propose }, table, logger }) }
 }
 
 describe('changes of the table at the leader', () => {
@@ -59,7 +59,7 @@
       if (isLost) throw new SpoolgateError('controlUnavailable', 'leadership changed')
       return table.put(command as PutTable)
     }
-    const puts = createTablePuts({ member: { propose }, table, logger })
+    const puts = createTableWriter({ member: { propose }, table, logger })
     const lost = puts.put(buildTable(2)).catch((cause: SpoolgateError) => cause.kind)
     expect(await lost).to.equal('controlUnavailable')
     isLost = false
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -37,8 +37,8 @@
   OrderOutcome,
 } from './registry/engineOrders.js'
 export {
-  createFeedFollower,
-  type FeedFollower,
+  createFeedClient,
+  type FeedClient,
   type LimitRecord,
   type ObservedLimits,
   type QuotaRecord,
@@ -68,15 +68,15 @@
   type SuspectedRequest,
 } from './blame/requestBlame.js'
 export type { FleetView } from './registry/heldFleet.js'
-export type { CacheCalls, CacheNews } from './registry/cacheWatch.js'
-export type { KeptPart } from './registry/keptParts.js'
+export type { CacheClient, CacheEvents } from './registry/cacheWatch.js'
+export type { CacheEntry } from './registry/keptParts.js'
 export type {
-  KeptPlacement,
+  CachedPlacement,
   Placement,
   ServerLoad,
   ServerLoads,
-  StoreLife,
-  LimitNews,
+  ReachableStore,
+  AssignedLimit,
   LimitReport,
   LimitsUpdate,
 } from './registry/feed.js'
--- a/packages/control/src/registry/cacheWatch.ts
+++ b/packages/control/src/registry/cacheWatch.ts
@@ -15,50 +15,55 @@
 import { setMaxListeners } from 'node:events'
 import type { RaftMember } from '../raft/types.js'
 import type { ControlMachine } from '../state/controlMachine.js'
-import type { Placement, StoreLife } from './feed.js'
-import type { KnownTable } from './knownTable.js'
-import { createKeptParts, type CachePlace, type KeptPart, type KeptParts } from './keptParts.js'
+import type { Placement, ReachableStore } from './feed.js'
+import type { DecodedTable } from './knownTable.js'
+import {
+  createCacheDirectory,
+  type CacheLocation,
+  type CacheEntry,
+  type CacheDirectory,
+} from './keptParts.js'
 
 /** Speaks to what keeps KV cache; deployments bring their own way. */
-export interface CacheCalls {
+export interface CacheClient {
   /**
    * Waits at an engine or store until something changed there after `after`, or for a while.
    * @throws ConnectionError or SpoolgateError when there is no readable answer.
    */
-  waitForChanges(address: string, after: number, signal: AbortSignal): Promise<CacheNews>
+  waitForChanges(address: string, after: number, signal: AbortSignal): Promise<CacheEvents>
   /**
    * Fetches the whole list; it holds up the work there.
    * @throws ConnectionError or SpoolgateError when there is no readable answer.
    */
-  listParts(address: string, signal: AbortSignal): Promise<CacheList>
+  listParts(address: string, signal: AbortSignal): Promise<CacheSnapshot>
 }
 
 /** What an engine or store keeps. */
-export interface CacheList {
+export interface CacheSnapshot {
   /** Changes with each restart. */
   readonly epoch: number
   /** Number after which a call waits for changes since. */
   readonly next: number
-  readonly parts: readonly KeptPart[]
+  readonly parts: readonly CacheEntry[]
 }
 
 /** What an engine or store says of its changes. */
-export interface CacheNews {
+export interface CacheEvents {
   /** Changes with each restart. */
   readonly epoch: number
   /** Number after which the next call waits for changes. */
   readonly next: number
   /** Whether changes before these are missing. */
   readonly hasGap: boolean
-  readonly changes: readonly KeptPart[]
+  readonly changes: readonly CacheEntry[]
 }
 
 /** Options of {@link createCacheWatch}. */
 export interface CacheWatchOptions {
   readonly member: RaftMember
   readonly machine: ControlMachine
-  readonly calls: CacheCalls
-  readonly table: Pick<KnownTable, 'current' | 'isKnownGroup'>
+  readonly calls: CacheClient
+  readonly table: Pick<DecodedTable, 'current' | 'isKnownGroup'>
   readonly timers: TimerService
   readonly logger: Logger
   /** Called with what is to be reported to routers. */
@@ -68,9 +73,9 @@
 /** The watch; see {@link createCacheWatch}. */
 export interface CacheWatch {
   /** Stores that answered last time. */
-  listLives(): readonly StoreLife[]
+  listLives(): readonly ReachableStore[]
   /** What is known to be kept. */
-  readonly kept: Pick<KeptParts, 'takePiece'>
+  readonly kept: Pick<CacheDirectory, 'takePiece'>
   /** Waits until every place has answered once, or for {@link FIRST_ANSWERS_MS}. */
   waitForFirstAnswers(): Promise<void>
   /** Emits when the lives of stores changed. */
@@ -126,7 +131,7 @@
   /** Places that were watched for a while or have answered, so that nobody waits for them. */
   const settled = new Set<string>()
   const settledChanges = new Subject<void>()
-  const kept = createKeptParts()
+  const kept = createCacheDirectory()
   const late = new Subscription()
   const listing = new Subject<() => Promise<void>>()
   listing.pipe(mergeMap((list) => list(), LISTS_AT_ONCE)).subscribe()
@@ -154,11 +159,11 @@
     logger.info('store.life', { address, epoch, before })
     changes.next()
   }
-  const toCachePlace = ({ address, engine }: WatchedPlace, epoch: number): CachePlace =>
+  const toCachePlace = ({ address, engine }: WatchedPlace, epoch: number): CacheLocation =>
     engine === undefined
       ? { kind: 'store', address, epoch }
       : { kind: 'engine', id: engine, address }
-  const applyNews = (place: WatchedPlace, news: CacheNews) => {
+  const applyNews = (place: WatchedPlace, news: CacheEvents) => {
     if (place.engine === undefined) recordLife(place.address, news.epoch)
     const at = toCachePlace(place, news.epoch)
     options.onKept(kept.apply(at, news.changes))
@@ -175,7 +180,7 @@
     return { epoch, after: next }
   }
   const listInTurn = ({ address }: WatchedPlace) =>
-    new Promise<CacheList>((resolve, reject) => {
+    new Promise<CacheSnapshot>((resolve, reject) => {
       listing.next(() => calls.listParts(address, stopping.signal).then(resolve, reject))
     })
   const followEvents = async (place: WatchedPlace, { epoch, after }: Position) => {
--- a/packages/control/src/registry/feed.ts
+++ b/packages/control/src/registry/feed.ts
@@ -37,7 +37,7 @@
 }
 
 /** The same with the part of the rate that a router may use, 0 to 1; missing for none. */
-export interface LimitNews extends LimitReport {
+export interface AssignedLimit extends LimitReport {
   readonly part?: number
 }
 
@@ -45,7 +45,7 @@
 export interface LimitsUpdate {
   /** Whether parts are assigned; a router keeps its former ones otherwise. */
   readonly hasParts: boolean
-  readonly servers: readonly LimitNews[]
+  readonly servers: readonly AssignedLimit[]
 }
 
 /**
@@ -58,7 +58,7 @@
  * What an engine or store keeps, in the same form: parts with 0 tokens are gone. It comes from their
  * own cache events, while a {@link Placement} of a router says what will be read there.
  */
-export type KeptPlacement = Placement
+export type CachedPlacement = Placement
 
 /** Placements in one reply; at 60 bytes each they stay under 15 KB a second. */
 export const MAX_PLACEMENTS_PER_REPLY = 100
@@ -67,7 +67,7 @@
  * Where a router stands in the list of all that engines and stores keep. The list is sent place by
  * place in the order of their names, over several replies; the last name is followed by the first.
  */
-export interface KeptPosition {
+export interface CacheListCursor {
   /** Place that was sent last; empty before the first. */
   readonly after: string
   /** Places that are still to be sent; 0 once the router knows the list. */
@@ -75,7 +75,7 @@
 }
 
 /** A store of KV cache that answers. */
-export interface StoreLife {
+export interface ReachableStore {
   readonly address: string
   /** Changes with each restart, after which the store is empty. */
   readonly epoch: number
@@ -90,7 +90,7 @@
   /** Servers that missed their last heartbeats. */
   readonly silent: readonly BackendServerId[]
   /** Stores of KV cache that answer. */
-  readonly stores: readonly StoreLife[]
+  readonly stores: readonly ReachableStore[]
 }
 
 /** What a router asks. */
@@ -111,7 +111,7 @@
   /** Number of the last change of what is kept that was reported to this router, in the same way. */
   readonly keptSeen: number
   /** Where this router stands in the list of all that is kept. */
-  readonly keptPosition: KeptPosition
+  readonly keptPosition: CacheListCursor
   /** What this router saw of requests under which servers end; missing before version 0.5. */
   readonly blame?: BlameReport
   /** Revision of the suspected requests that this router holds, as this term counts them. */
@@ -152,14 +152,14 @@
   /** Number of the last placement so far. */
   readonly placementsSeen: number
   /** Changes of what is kept since the last reply, then a piece of the list of all that is kept. */
-  readonly kept: readonly KeptPlacement[]
+  readonly kept: readonly CachedPlacement[]
   readonly keptSeen: number
   /** All requests in quarantine or suspected; present when the router holds another revision of them. */
   readonly suspects?: readonly SuspectedRequest[]
   readonly suspectsSeen?: number
   /** Request in quarantine that this router, and no other, may send once. */
   readonly trial?: RequestFingerprint
-  readonly keptPosition: KeptPosition
+  readonly keptPosition: CacheListCursor
   /** Present when the router holds another revision of them. */
   readonly limits?: LimitsUpdate
   readonly limitsSeen?: number
--- a/packages/control/src/registry/feedFollower.ts
+++ b/packages/control/src/registry/feedFollower.ts
@@ -18,19 +18,19 @@
   FEED_PATH,
   type FeedReply,
   type FeedRequest,
-  type KeptPlacement,
+  type CachedPlacement,
   type LimitReport,
   type LimitsUpdate,
   type Placement,
   type ServerLoads,
 } from './feed.js'
-import { createHeldFleet, type FleetView } from './heldFleet.js'
+import { createFleetReplica, type FleetView } from './heldFleet.js'
 import { createInstanceSearch } from './instanceSearch.js'
 import type { QuotaGrants, QuotaReport } from './quotaCredits.js'
-import { createTableFetch } from './tableFetch.js'
+import { createTableFetcher } from './tableFetch.js'
 
-/** Options of {@link createFeedFollower}. */
-export interface FeedFollowerOptions {
+/** Options of {@link createFeedClient}. */
+export interface FeedClientOptions {
   /** Name under which control counts this router. */
   readonly router: string
   /** URLs of the control instances to start from; read again whenever no other answers. */
@@ -58,7 +58,7 @@
   /** Called with a request in quarantine that this router may send once. */
   readonly onTrial: (request: RequestFingerprint) => void
   /** Called with what engines and stores say that they keep. */
-  readonly onKept: (placements: readonly KeptPlacement[]) => void
+  readonly onKept: (placements: readonly CachedPlacement[]) => void
 }
 
 /** Limits that this router observed, until the leader has acknowledged them. */
@@ -82,7 +82,7 @@
 }
 
 /** A follower of the feed. */
-export interface FeedFollower {
+export interface FeedClient {
   /** Undefined before the first table was fetched. */
   current(): FleetView | undefined
   /** Ms since this router last polled and had confirmed that it holds the newest; Infinity for never. */
@@ -127,11 +127,11 @@
 }
 
 /** Creates a follower and starts its task. */
-export function createFeedFollower(options: FeedFollowerOptions): FeedFollower {
+export function createFeedClient(options: FeedClientOptions): FeedClient {
   const { client, timers, logger } = options
   const stopping = new AbortController()
   const changes = new Subject<FleetView>()
-  const held = createHeldFleet(options)
+  const held = createFleetReplica(options)
   let unreported: readonly Placement[] = []
   let provenAt = -Infinity
   /** What proves the version that the router is fetching, once it holds that. */
@@ -183,7 +183,7 @@
     provenAt = Math.max(provenAt, proof.askedAt)
   }
   const listInstances = () => [...new Set([...held.listControl(), ...options.seeds()])]
-  const tables = createTableFetch({
+  const tables = createTableFetcher({
     listInstances,
     client,
     timers,
--- a/packages/control/src/registry/feedSource.ts
+++ b/packages/control/src/registry/feedSource.ts
@@ -15,12 +15,12 @@
   MAX_PLACEMENTS_PER_REPLY,
   type FeedReply,
   type FeedRequest,
-  type KeptPlacement,
-  type KeptPosition,
+  type CachedPlacement,
+  type CacheListCursor,
   type ServerConditions,
   type ServerLoads,
 } from './feed.js'
-import type { KeptParts } from './keptParts.js'
+import type { CacheDirectory } from './keptParts.js'
 import { createLimitParts } from './limitParts.js'
 import { createLoadSum } from './loadSum.js'
 import { createPlacementLog } from './placementLog.js'
@@ -44,7 +44,7 @@
   /** Limits of teams. */
   readonly quotas: QuotaBuckets
   /** What engines and stores keep, for routers that do not know it yet. */
-  readonly kept: Pick<KeptParts, 'takePiece'>
+  readonly kept: Pick<CacheDirectory, 'takePiece'>
   /** Waits until what engines and stores keep is known, for a little while. */
   readonly waitForKept: () => Promise<void>
   /** Emits when the instance stops: waiting polls are answered at once. */
@@ -74,7 +74,7 @@
    */
   listQuotas(): readonly QuotaStatus[]
   /** Notes what engines and stores keep now, for all routers. */
-  addKept(placements: readonly KeptPlacement[]): void
+  addKept(placements: readonly CachedPlacement[]): void
   /** Sums up what all routers have in progress. */
   sumLoads(): ServerLoads
 }
@@ -98,7 +98,7 @@
  */
 const MAX_TABLE_BYTES = 16 * 1024
 /** Position of a router that knows nothing of what is kept. */
-const WHOLE_LIST: KeptPosition = { after: '', left: Number.MAX_SAFE_INTEGER }
+const WHOLE_LIST: CacheListCursor = { after: '', left: Number.MAX_SAFE_INTEGER }
 /** Sender of what comes from no router. */
 const NOBODY = 'nobody'
 
@@ -159,7 +159,7 @@
 
   /** A router that polled another leader last has none of this one's numbers. */
   const isOfTerm = (request: FeedRequest) => request.term === member.status().term
-  const findKeptPosition = (request: FeedRequest): KeptPosition => {
+  const findKeptPosition = (request: FeedRequest): CacheListCursor => {
     if (!isOfTerm(request)) return WHOLE_LIST
     const isTooMuch = changesOfKept.last() - request.keptSeen > MAX_PLACEMENTS_PER_REPLY
     // The list goes on where it stood, once around, so that no piece is sent in vain.
--- a/packages/control/src/registry/fleetOperations.ts
+++ b/packages/control/src/registry/fleetOperations.ts
@@ -23,7 +23,7 @@
 import type { PutTableResult } from '../state/tableState.js'
 import { applyTableUpdate, buildTableUpdate, type TableUpdate } from '../table/tableUpdate.js'
 import { createServerSignals } from './serverSignals.js'
-import { createTablePuts } from './tablePuts.js'
+import { createTableWriter } from './tablePuts.js'
 import type { NameWeights, NameWeightsResult } from '../state/weightsState.js'
 
 /** Path under which instances hand operations to the leader. */
@@ -134,7 +134,7 @@
     silentAfterMs: options.silentAfterMs,
     findSilenceMs,
   })
-  const puts = createTablePuts({ member, table: machine.table, logger })
+  const puts = createTableWriter({ member, table: machine.table, logger })
   /** An unknown group names no server to use; one that is registered stays registered. */
   const isUsable = ({ id, group }: RegisteredServer) =>
     options.isKnownGroup(group) || machine.servers.find(id) !== undefined
--- a/packages/control/src/registry/heldFleet.ts
+++ b/packages/control/src/registry/heldFleet.ts
@@ -16,10 +16,10 @@
 import type {
   FeedReply,
   FeedRequest,
-  KeptPosition,
+  CacheListCursor,
   ServerConditions,
   ServerLoads,
-  StoreLife,
+  ReachableStore,
 } from './feed.js'
 
 /** What a router knows of the fleet. */
@@ -36,7 +36,7 @@
   /** Servers that missed their last heartbeats. */
   readonly silent: ReadonlySet<BackendServerId>
   /** Stores of KV cache that answer. */
-  readonly stores: readonly StoreLife[]
+  readonly stores: readonly ReachableStore[]
   /** Routers that polled control lately, this one included. */
   readonly routers: number
   /** What the other routers have in progress, as of the last poll. */
@@ -57,16 +57,16 @@
   | 'limitsSeen'
 >
 
-/** Options of {@link createHeldFleet}. */
-export interface HeldFleetOptions {
+/** Options of {@link createFleetReplica}. */
+export interface FleetReplicaOptions {
   readonly timers: TimerService
   readonly logger: Logger
   /** Decodes the operators' document; throws for one that this version cannot read. */
   readonly decodeTable: (document: string) => RoutingTable
 }
 
-/** What a router holds; see {@link createHeldFleet}. */
-export interface HeldFleet {
+/** What a router holds; see {@link createFleetReplica}. */
+export interface FleetReplica {
   /** Undefined before the first table. */
   view(): FleetView | undefined
   position(): FeedPosition
@@ -87,7 +87,7 @@
 }
 
 const NO_VERSION = -1
-const NOTHING_KEPT: KeptPosition = { after: '', left: 0 }
+const NOTHING_KEPT: CacheListCursor = { after: '', left: 0 }
 
 type ConditionSets = Pick<FleetView, 'loading' | 'expired' | 'silent' | 'stores'>
 
@@ -108,7 +108,11 @@
 }
 
 /** Creates what a router holds at its start: nothing. */
-export function createHeldFleet({ timers, logger, decodeTable }: HeldFleetOptions): HeldFleet {
+export function createFleetReplica({
+  timers,
+  logger,
+  decodeTable,
+}: FleetReplicaOptions): FleetReplica {
   let held: HeldTable | undefined
   let index: TableIndex | undefined
   let weights: Readonly<Record<string, number>> = {}
--- a/packages/control/src/registry/keptParts.ts
+++ b/packages/control/src/registry/keptParts.ts
@@ -3,10 +3,10 @@
  * in the form in which routers receive it: placements whose parts have 0 tokens are gone.
  */
 import { formatStoreId, hashPart, parseScopeVersion } from '@spoolgate/routing'
-import type { KeptPosition, Placement } from './feed.js'
+import type { CacheListCursor, Placement } from './feed.js'
 
 /** A part of a prompt as an engine or store keeps it. */
-export interface KeptPart {
+export interface CacheEntry {
   /** What the part was read under. */
   readonly scope: string
   readonly id: string
@@ -15,35 +15,35 @@
 }
 
 /** Where parts are kept. */
-export type CachePlace =
+export type CacheLocation =
   | { readonly kind: 'engine'; readonly id: string; readonly address: string }
   | { readonly kind: 'store'; readonly address: string; readonly epoch: number }
 
-/** The index; see {@link createKeptParts}. */
-export interface KeptParts {
+/** The index; see {@link createCacheDirectory}. */
+export interface CacheDirectory {
   /**
    * Applies changes at a place, in order; returns what is to be reported to routers, each part once with
    * the tokens that are left of it in the end.
    */
-  apply(place: CachePlace, changes: readonly KeptPart[]): Placement[]
+  apply(place: CacheLocation, changes: readonly CacheEntry[]): Placement[]
   /** Replaces all that is known of a place by a full list; returns the differences. */
-  replace(place: CachePlace, parts: readonly KeptPart[]): Placement[]
+  replace(place: CacheLocation, parts: readonly CacheEntry[]): Placement[]
   /** Forgets a place that is gone. */
-  forget(place: CachePlace): void
+  forget(place: CacheLocation): void
   /** Lists all that is kept. */
   list(): Placement[]
   /**
    * Takes the next places of the list for a router that stands at a position in it: as many as hold
    * `maxParts`, and one at least. A position whose `left` is larger than the list means all of it.
    */
-  takePiece(position: KeptPosition, maxParts: number): KeptPiece
+  takePiece(position: CacheListCursor, maxParts: number): CacheListPage
 }
 
 /** A piece of the list of all that is kept. */
-export interface KeptPiece {
+export interface CacheListPage {
   readonly placements: readonly Placement[]
   /** Where the router stands once it has the piece. */
-  readonly position: KeptPosition
+  readonly position: CacheListCursor
 }
 
 interface VersionParts {
@@ -54,12 +54,12 @@
 }
 
 /** Name of a place for one weights version, as routers know it. */
-function formatPlaceId(place: CachePlace, version: number): string {
+function formatPlaceId(place: CacheLocation, version: number): string {
   if (place.kind === 'engine') return place.id
   return formatStoreId(place.address, place.epoch, version)
 }
 
-function formatPlaceKey(place: CachePlace): string {
+function formatPlaceKey(place: CacheLocation): string {
   return place.kind === 'engine' ? place.id : `${place.address}/${place.epoch}`
 }
 
@@ -68,16 +68,16 @@
 }
 
 /** Creates an index that knows of nothing. */
-export function createKeptParts(): KeptParts {
+export function createCacheDirectory(): CacheDirectory {
   const places = new Map<string, Map<number, VersionParts>>()
 
-  const openVersions = (place: CachePlace) => {
+  const openVersions = (place: CacheLocation) => {
     const key = formatPlaceKey(place)
     const versions = places.get(key) ?? new Map<number, VersionParts>()
     places.set(key, versions)
     return versions
   }
-  const openParts = (place: CachePlace, version: number) => {
+  const openParts = (place: CacheLocation, version: number) => {
     const versions = openVersions(place)
     const known = versions.get(version)
     if (known) return known
@@ -87,11 +87,11 @@
     versions.set(version, created)
     return created
   }
-  const isOutdated = (place: CachePlace, version: number) => {
+  const isOutdated = (place: CacheLocation, version: number) => {
     if (place.kind === 'store') return false
     return Math.max(...openVersions(place).keys(), 0) > version
   }
-  const apply: KeptParts['apply'] = (place, changes) => {
+  const apply: CacheDirectory['apply'] = (place, changes) => {
     const reported = new Map<number, Map<number, number>>()
     for (const { scope, id, tokens } of changes) {
       const version = parseScopeVersion(scope)
@@ -110,7 +110,7 @@
     [...places.values()]
       .flatMap((versions) => [...versions.values()])
       .filter(({ tokens }) => tokens.size > 0)
-  const takePiece: KeptParts['takePiece'] = ({ after, left }, maxParts) => {
+  const takePiece: CacheDirectory['takePiece'] = ({ after, left }, maxParts) => {
     if (left <= 0) return { placements: [], position: { after, left: 0 } }
     const ordered = listVersions().sort((a, b) => (a.place < b.place ? -1 : 1))
     const reported = ordered.filter(({ place }) => place <= after)
--- a/packages/control/src/registry/knownTable.ts
+++ b/packages/control/src/registry/knownTable.ts
@@ -4,16 +4,16 @@
 import { formatQuotaKey } from './quotaCredits.js'
 import type { TableState } from '../state/tableState.js'
 
-/** Options of {@link createKnownTable}. */
-export interface KnownTableOptions {
+/** Options of {@link createDecodedTable}. */
+export interface DecodedTableOptions {
   readonly table: Pick<TableState, 'current'>
   /** Decodes the operators' document; throws for one that this version cannot read. */
   readonly decodeTable: (document: string) => RoutingTable
   readonly logger: Logger
 }
 
-/** See {@link createKnownTable}. */
-export interface KnownTable {
+/** See {@link createDecodedTable}. */
+export interface DecodedTable {
   /** The newest that can be read; undefined before the first. */
   current(): RoutingTable | undefined
   /** Whether servers may serve a group: it is in the table, or there is no table yet. */
@@ -29,7 +29,11 @@
 }
 
 /** Creates the reader of an instance's table. */
-export function createKnownTable({ table, decodeTable, logger }: KnownTableOptions): KnownTable {
+export function createDecodedTable({
+  table,
+  decodeTable,
+  logger,
+}: DecodedTableOptions): DecodedTable {
   let readVersion: number | undefined
   let known: RoutingTable | undefined
   let groups: ReadonlySet<string> = new Set()
--- a/packages/control/src/registry/limitParts.ts
+++ b/packages/control/src/registry/limitParts.ts
@@ -4,7 +4,7 @@
  */
 import type { TimerService } from '@spoolgate/core'
 import { hashText } from '@spoolgate/routing'
-import type { LimitNews, LimitReport, LimitsUpdate } from './feed.js'
+import type { AssignedLimit, LimitReport, LimitsUpdate } from './feed.js'
 
 /** Options of {@link createLimitParts}. */
 export interface LimitPartsOptions {
@@ -153,7 +153,7 @@
     buildUpdate: (router) => {
       refresh()
       const now = timers.now()
-      const servers = [...entries].map(([server, entry]): LimitNews => {
+      const servers = [...entries].map(([server, entry]): AssignedLimit => {
         const { perSecond, at } = entry
         const news = { server, perSecond, ageMs: Math.max(0, Math.round(now - at)) }
         return entry.routers.has(router) ? { ...news, part: 1 / entry.routers.size } : news
--- a/packages/control/src/registry/registryControl.ts
+++ b/packages/control/src/registry/registryControl.ts
@@ -32,12 +32,12 @@
 import { createRaftRoute } from '../server/groupRoutes.js'
 import { createHttpTransport } from '../server/raftTransport.js'
 import { createControlMachine, type ControlMachine } from '../state/controlMachine.js'
-import { createCacheWatch, type CacheCalls } from './cacheWatch.js'
+import { createCacheWatch, type CacheClient } from './cacheWatch.js'
 import type { EngineOrders } from './engineOrders.js'
 import { FEED_PATH, TABLE_PATH, type FeedRequest } from './feed.js'
 import { createFeedSource } from './feedSource.js'
 import { createFleetOperator, OPERATION_PATH, type FleetOperator } from './fleetOperations.js'
-import { createKnownTable } from './knownTable.js'
+import { createDecodedTable } from './knownTable.js'
 import { createQuotaBuckets } from './quotaBuckets.js'
 import { QUOTA_PATH, type QuotaReport, type QuotaTolerance } from './quotaCredits.js'
 import { createServerWatch } from './serverWatch.js'
@@ -61,7 +61,7 @@
   /** Voters that the group should have. */
   readonly wantedVoters: number
   readonly orders: EngineOrders
-  readonly cacheCalls: CacheCalls
+  readonly cacheCalls: CacheClient
   /** Decodes the operators' document. */
   readonly decodeTable: (document: string) => RoutingTable
   /** Time for which orders of an earlier leader may still count, in ms. */
@@ -172,7 +172,7 @@
     logger,
   })
   const stopping = new Subject<void>()
-  const table = createKnownTable({
+  const table = createDecodedTable({
     table: machine.table,
     decodeTable: options.decodeTable,
     logger,
--- a/packages/control/src/registry/tableFetch.ts
+++ b/packages/control/src/registry/tableFetch.ts
@@ -14,8 +14,8 @@
 import { createInstanceSearch } from './instanceSearch.js'
 import type { TableRequest } from './tableSource.js'
 
-/** Options of {@link createTableFetch}. */
-export interface TableFetchOptions {
+/** Options of {@link createTableFetcher}. */
+export interface TableFetcherOptions {
   /** URLs of the control instances. */
   readonly listInstances: () => readonly string[]
   readonly client: HttpClient
@@ -29,8 +29,8 @@
   readonly stopping: AbortSignal
 }
 
-/** The task; see {@link createTableFetch}. */
-export interface TableFetch {
+/** The task; see {@link createTableFetcher}. */
+export interface TableFetcher {
   /** Notes that there is a version; it is fetched unless the router holds it or a newer one. */
   want(version: number): void
   /** Resolves once nothing is fetched any more. */
@@ -41,7 +41,7 @@
 const UNUSABLE_PAUSE_MS = 500
 
 /** Creates the task; nothing is fetched yet. */
-export function createTableFetch(options: TableFetchOptions): TableFetch {
+export function createTableFetcher(options: TableFetcherOptions): TableFetcher {
   const { client, timers, logger, heldVersion, stopping } = options
   let wantedVersion = NO_TABLE_VERSION
   /** Set once an update did not fit, until one did. */
--- a/packages/control/src/registry/tablePuts.ts
+++ b/packages/control/src/registry/tablePuts.ts
@@ -7,15 +7,15 @@
 import type { PutTableResult, TableState } from '../state/tableState.js'
 import { buildTableUpdate, measureUpdate, type HeldTable } from '../table/tableUpdate.js'
 
-/** Options of {@link createTablePuts}. */
-export interface TablePutsOptions {
+/** Options of {@link createTableWriter}. */
+export interface TableWriterOptions {
   readonly member: Pick<RaftMember, 'propose'>
   readonly table: Pick<TableState, 'current'>
   readonly logger: Logger
 }
 
-/** See {@link createTablePuts}. */
-export interface TablePuts {
+/** See {@link createTableWriter}. */
+export interface TableWriter {
   /**
    * Puts a table; resolves once it is known what became of it.
    * @throws SpoolgateError `notLeader`, or `controlUnavailable` when the outcome is not known.
@@ -24,7 +24,7 @@
 }
 
 /** Creates the queue. */
-export function createTablePuts({ member, table, logger }: TablePutsOptions): TablePuts {
+export function createTableWriter({ member, table, logger }: TableWriterOptions): TableWriter {
   let last: Promise<unknown> = Promise.resolve()
 
   const propose = async (before: HeldTable | undefined, next: HeldTable) => {
--- a/packages/router/src/__tests__/sources.spec.ts
+++ b/packages/router/src/__tests__/sources.spec.ts
@@ -2,7 +2,7 @@
   buildServerIdentity,
   type FleetView,
   type RegisteredServer,
-  type StoreLife,
+  type ReachableStore,
 } from '@spoolgate/control'
 import { createManualTimerService, toBackendServerId, toServerName } from '@spoolgate/core'
 import { formatCacheScope, formatStoreId } from '@spoolgate/routing'
@@ -130,7 +130,7 @@
   const PROMPTS = 300
 
   /** Finds the stores that a number of prompts are saved to. */
-  function listSavedTo(stores: readonly StoreLife[]): (string | undefined)[] {
+  function listSavedTo(stores: readonly ReachableStore[]): (string | undefined)[] {
     const table = {
       stores: STORES.map(({ address }) => ({
         address,
--- a/packages/router/src/direct/directParts.ts
+++ b/packages/router/src/direct/directParts.ts
@@ -1,5 +1,5 @@
 /** Parts of a direct router that every request needs. */
-import type { FeedFollower } from '@spoolgate/control'
+import type { FeedClient } from '@spoolgate/control'
 import type {
   Counter,
   Histogram,
@@ -41,7 +41,7 @@
 export interface DirectParts {
   readonly instance: string
   readonly hall: string
-  readonly feed: FeedFollower
+  readonly feed: FeedClient
   readonly caller: CallerDialect
   readonly backend: BackendDialect
   readonly agent: KeepAliveAgent
--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -6,8 +6,8 @@
 import type { Socket } from 'node:net'
 import {
   createBlameRecord,
-  createFeedFollower,
-  type FeedFollower,
+  createFeedClient,
+  type FeedClient,
   type LimitsUpdate,
 } from '@spoolgate/control'
 import {
@@ -79,7 +79,7 @@
 /** A running router. */
 export interface DirectRouter {
   readonly port: number
-  readonly feed: FeedFollower
+  readonly feed: FeedClient
   /** Says why callers should not be sent here, or undefined when they may. */
   findUnreadyReason(): string | undefined
   renderMetrics(): Promise<string>
@@ -189,7 +189,7 @@
     logger,
     findLeaderUrl: () => feed.leaderUrl(),
   })
-  const feed: FeedFollower = createFeedFollower({
+  const feed: FeedClient = createFeedClient({
     router: options.instance,
     seeds: options.seeds,
     client,
--- a/packages/router/src/direct/partMemory.ts
+++ b/packages/router/src/direct/partMemory.ts
@@ -2,7 +2,7 @@
  * What a router knows to be cached at each model engine and store: what they say themselves, and,
  * until that is here, the prompt parts that were sent there by this router or by others.
  */
-import type { KeptPlacement, Placement } from '@spoolgate/control'
+import type { CachedPlacement, Placement } from '@spoolgate/control'
 import { toBackendServerId, type BackendServerId } from '@spoolgate/core'
 import { hashPart } from '@spoolgate/routing'
 import { LRUCache } from 'lru-cache'
@@ -22,7 +22,7 @@
   /** Records that an engine reads a prompt that this router sent. */
   recordOwn(placement: Placement): void
   /** Records what an engine or store says that it keeps, or no longer keeps. */
-  confirm(placement: KeptPlacement): void
+  confirm(placement: CachedPlacement): void
   /** Takes the placements that were made here since the last call, for the other routers. */
   takePlacements(): Placement[]
 }
--- a/packages/router/src/direct/sources.ts
+++ b/packages/router/src/direct/sources.ts
@@ -2,7 +2,7 @@
  * Where the shared parts of a prompt are: at engines and stores that are known to keep them, or else
  * at the engine where every router sends them first, which all compute alike without communication.
  */
-import type { FleetView, RegisteredServer, StoreLife } from '@spoolgate/control'
+import type { FleetView, RegisteredServer, ReachableStore } from '@spoolgate/control'
 import { toBackendServerId, type BackendServerId } from '@spoolgate/core'
 import { formatStoreId, hashText, type EngineFacts } from '@spoolgate/routing'
 import type { PromptFacts, PromptPart } from './dialects.js'
@@ -123,9 +123,9 @@
  * prompts, so that together they hold more.
  */
 function findStoreLife(
-  stores: readonly StoreLife[],
+  stores: readonly ReachableStore[],
   shared: readonly PromptPart[],
-): StoreLife | undefined {
+): ReachableStore | undefined {
   return findFirst(formatKey(shared), stores, ({ address }) => address)
 }
 
--- a/packages/router/src/limits/serverLimits.ts
+++ b/packages/router/src/limits/serverLimits.ts
@@ -2,7 +2,7 @@
  * Keeps a router within its part of the rate limits that servers name for all routers together. Facts in, verdicts out;
  * no clock and no socket. Without a part of a limited server's rate, a router sends nothing there.
  */
-import type { LimitNews, LimitReport, LimitsUpdate, ObservedLimits } from '@spoolgate/control'
+import type { AssignedLimit, LimitReport, LimitsUpdate, ObservedLimits } from '@spoolgate/control'
 import type { BackendServerId } from '@spoolgate/core'
 import { CARRY_OVER_MS } from '@spoolgate/routing'
 import { LRUCache } from 'lru-cache'
@@ -111,7 +111,7 @@
     if (state.perSecond === undefined) state.tokens = Math.min(0, state.tokens)
     state.perSecond = perSecond
   }
-  const applyNews = (news: LimitNews, askedAt: number, now: number) => {
+  const applyNews = (news: AssignedLimit, askedAt: number, now: number) => {
     const server = news.server as BackendServerId
     const perSecond = news.perSecond ?? undefined
     // Dated late, a limit is kept for longer; dated early, the end of one is no newer than it was.
