--- a/packages/control/src/__tests__/cacheWatch.spec.ts
+++ b/packages/control/src/__tests__/cacheWatch.spec.ts
@@ -14,7 +14,7 @@
   type CacheEvents,
 } from '../registry/cacheWatch.js'
 import type { CachedPlacement } from '../registry/feed.js'
-import { createCacheDirectory, type CacheEntry } from '../registry/keptParts.js'
+import { createCacheDirectory, type CacheEntry } from '../registry/cacheDirectory.js'
 import type { RaftMember } from '../raft/types.js'
 import { createControlMachine, type ControlMachine } from '../state/controlMachine.js'
 import { buildServerIdentity } from '../state/serverState.js'
--- a/packages/control/src/__tests__/feedHerd.spec.ts
+++ b/packages/control/src/__tests__/feedStartup.spec.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai'
-import { createFeedSimulation, type FeedSimulationOptions } from './feedHerd.js'
+import { createFeedSimulation, type FeedSimulationOptions } from './feedSimulation.js'
 
 /** Time after the election within which every router must have its first table, in ms. */
 const LAST_TABLE_MS = 2_000
--- a/packages/control/src/__tests__/idleRecords.ts
+++ b/packages/control/src/__tests__/idleRecords.ts
@@ -1,7 +1,7 @@
 /** Stubs of what a router records, for followers of the feed that serve nothing. */
 import type { TimerService } from '@spoolgate/core'
 import { createQuotaBuckets, type QuotaBuckets } from '../registry/quotaBuckets.js'
-import type { LimitRecord, QuotaRecord } from '../registry/feedFollower.js'
+import type { LimitRecord, QuotaRecord } from '../registry/feedClient.js'
 
 /** Knows of no limits of servers. */
 export const NO_LIMITS: LimitRecord = {
--- a/packages/control/src/__tests__/tableHerd.spec.ts
+++ b/packages/control/src/__tests__/tableDistribution.spec.ts
@@ -6,7 +6,7 @@
  * version after the other crowded out all else; an answer that was only long counted as a lost leader.
  */
 import { expect } from 'chai'
-import { createFeedSimulation, type FeedSimulationOptions } from './feedHerd.js'
+import { createFeedSimulation, type FeedSimulationOptions } from './feedSimulation.js'
 
 /** A change with few routes must be in force everywhere so soon after its acceptance, in ms. */
 const SMALL_MS = 300
--- a/packages/control/src/__tests__/tableFetch.spec.ts
+++ b/packages/control/src/__tests__/tableFetcher.spec.ts
@@ -6,7 +6,7 @@
   type HttpClient,
 } from '@spoolgate/core'
 import { expect } from 'chai'
-import { createTableFetcher } from '../registry/tableFetch.js'
+import { createTableFetcher } from '../registry/tableFetcher.js'
 import type { TableRequest } from '../registry/tableSource.js'
 import { applyTableUpdate, buildTableUpdate, type HeldTable } from '../table/tableUpdate.js'
 
--- a/packages/control/src/__tests__/tableProof.spec.ts
+++ b/packages/control/src/__tests__/tableProof.spec.ts
@@ -8,7 +8,7 @@
 import { expect } from 'chai'
 import { TABLE_PATH, type FeedReply, type FeedRequest } from '../registry/feed.js'
 import { createBlameRecord } from '../blame/blameRecord.js'
-import { createFeedClient } from '../registry/feedFollower.js'
+import { createFeedClient } from '../registry/feedClient.js'
 import { buildTableUpdate } from '../table/tableUpdate.js'
 import { NO_LIMITS, NO_QUOTAS } from './idleRecords.js'
 
--- a/packages/control/src/__tests__/tableUpdate.spec.ts
+++ b/packages/control/src/__tests__/tableUpdate.spec.ts
@@ -4,7 +4,7 @@
 import { createTableHistory } from '../table/tableHistory.js'
 import { applyTableUpdate, buildTableUpdate, type HeldTable } from '../table/tableUpdate.js'
 import { applyTextPatch, buildTextPatch } from '../table/textPatch.js'
-import { buildDocument } from './feedHerd.js'
+import { buildDocument } from './feedSimulation.js'
 
 const SEED = 35
 /** Texts of which many segments recur, in any order. */
--- a/packages/control/src/__tests__/tablePuts.spec.ts
+++ b/packages/control/src/__tests__/tableWriter.spec.ts
@@ -1,6 +1,6 @@
 import { createLogger, SpoolgateError } from '@spoolgate/core'
 import { expect } from 'chai'
-import { createTableWriter } from '../registry/tablePuts.js'
+import { createTableWriter } from '../registry/tableWriter.js'
 import { createTableState, type PutTable, type PutUpdate } from '../state/tableState.js'
 import { buildTableUpdate } from '../table/tableUpdate.js'
 
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -42,7 +42,7 @@
   type LimitRecord,
   type ObservedLimits,
   type QuotaRecord,
-} from './registry/feedFollower.js'
+} from './registry/feedClient.js'
 export { createQuotaBuckets, type QuotaBuckets } from './registry/quotaBuckets.js'
 export {
   CREDIT_LIFE_MS,
@@ -67,9 +67,9 @@
   type BlamedSend,
   type SuspectedRequest,
 } from './blame/requestBlame.js'
-export type { FleetView } from './registry/heldFleet.js'
+export type { FleetView } from './registry/fleetReplica.js'
 export type { CacheClient, CacheEvents } from './registry/cacheWatch.js'
-export type { CacheEntry } from './registry/keptParts.js'
+export type { CacheEntry } from './registry/cacheDirectory.js'
 export type {
   CachedPlacement,
   Placement,
--- a/packages/control/src/registry/cacheWatch.ts
+++ b/packages/control/src/registry/cacheWatch.ts
@@ -16,13 +16,13 @@
 import type { RaftMember } from '../raft/types.js'
 import type { ControlMachine } from '../state/controlMachine.js'
 import type { Placement, ReachableStore } from './feed.js'
-import type { DecodedTable } from './knownTable.js'
+import type { DecodedTable } from './decodedTable.js'
 import {
   createCacheDirectory,
   type CacheLocation,
   type CacheEntry,
   type CacheDirectory,
-} from './keptParts.js'
+} from './cacheDirectory.js'
 
 /** Speaks to what keeps KV cache; deployments bring their own way. */
 export interface CacheClient {
--- a/packages/control/src/registry/feedFollower.ts
+++ b/packages/control/src/registry/feedClient.ts
@@ -24,10 +24,10 @@
   type Placement,
   type ServerLoads,
 } from './feed.js'
-import { createFleetReplica, type FleetView } from './heldFleet.js'
+import { createFleetReplica, type FleetView } from './fleetReplica.js'
 import { createInstanceSearch } from './instanceSearch.js'
 import type { QuotaGrants, QuotaReport } from './quotaCredits.js'
-import { createTableFetcher } from './tableFetch.js'
+import { createTableFetcher } from './tableFetcher.js'
 
 /** Options of {@link createFeedClient}. */
 export interface FeedClientOptions {
--- a/packages/control/src/registry/feedSource.ts
+++ b/packages/control/src/registry/feedSource.ts
@@ -20,7 +20,7 @@
   type ServerConditions,
   type ServerLoads,
 } from './feed.js'
-import type { CacheDirectory } from './keptParts.js'
+import type { CacheDirectory } from './cacheDirectory.js'
 import { createLimitParts } from './limitParts.js'
 import { createLoadSum } from './loadSum.js'
 import { createPlacementLog } from './placementLog.js'
--- a/packages/control/src/registry/fleetOperations.ts
+++ b/packages/control/src/registry/fleetOperations.ts
@@ -23,7 +23,7 @@
 import type { PutTableResult } from '../state/tableState.js'
 import { applyTableUpdate, buildTableUpdate, type TableUpdate } from '../table/tableUpdate.js'
 import { createServerSignals } from './serverSignals.js'
-import { createTableWriter } from './tablePuts.js'
+import { createTableWriter } from './tableWriter.js'
 import type { NameWeights, NameWeightsResult } from '../state/weightsState.js'
 
 /** Path under which instances hand operations to the leader. */
