--- a/packages/control/src/__tests__/cacheWatch.spec.ts
+++ b/packages/control/src/__tests__/cacheWatch.spec.ts
@@ -24,40 +24,40 @@
 const V1 = formatCacheScope(undefined, 1)
 const V2 = formatCacheScope(undefined, 2)
 
-function createPart(scope: string, id: string, tokens: number): CacheEntry {
+function createEntry(scope: string, id: string, tokens: number): CacheEntry {
   return { scope, id, tokens }
 }
 
 describe('the index of kept parts', () => {
   it('reports of each part what is left in the end, and lists it', () => {
-    const kept = createCacheDirectory()
-    const reported = kept.apply(ENGINE, [
-      createPart(V1, 'a', 60),
-      createPart(V1, 'b', 30),
-      createPart(V1, 'a', 0),
+    const directory = createCacheDirectory()
+    const reported = directory.apply(ENGINE, [
+      createEntry(V1, 'a', 60),
+      createEntry(V1, 'b', 30),
+      createEntry(V1, 'a', 0),
     ])
     const [a, b] = [hashPart(V1, 'a'), hashPart(V1, 'b')]
     expect(reported).to.deep.equal([['e1', 1, a, 0, b, 30]])
-    expect(kept.list()).to.deep.equal([['e1', 1, b, 30]])
+    expect(directory.list()).to.deep.equal([['e1', 1, b, 30]])
   })
 
   it('drops at an engine what was read under earlier weights, and keeps it at a store', () => {
-    const kept = createCacheDirectory()
+    const directory = createCacheDirectory()
     for (const place of [ENGINE, STORE]) {
-      kept.apply(place, [createPart(V1, 'a', 60)])
-      kept.apply(place, [createPart(V2, 'a', 60)])
-      kept.apply(place, [createPart(V1, 'late', 60)])
+      directory.apply(place, [createEntry(V1, 'a', 60)])
+      directory.apply(place, [createEntry(V2, 'a', 60)])
+      directory.apply(place, [createEntry(V1, 'late', 60)])
     }
     const versions = (name: string) =>
-      kept.list().flatMap(([place, version]) => (place.startsWith(name) ? [version] : []))
+      directory.list().flatMap(([place, version]) => (place.startsWith(name) ? [version] : []))
     expect(versions('e1')).to.deep.equal([2])
     expect(versions('store')).to.deep.equal([1, 2])
   })
 
   it('reports what is missing in a full list', () => {
-    const kept = createCacheDirectory()
-    kept.apply(STORE, [createPart(V1, 'a', 60), createPart(V1, 'b', 30)])
-    const reported = kept.replace(STORE, [createPart(V1, 'b', 30)])
+    const directory = createCacheDirectory()
+    directory.apply(STORE, [createEntry(V1, 'a', 60), createEntry(V1, 'b', 30)])
+    const reported = directory.replace(STORE, [createEntry(V1, 'b', 30)])
     const name = formatStoreId('s:1', 7, 1)
     expect(reported).to.deep.equal([
       [name, 1, hashPart(V1, 'a'), 0],
@@ -66,34 +66,34 @@
   })
 
   it('is listed in pieces, place by place, from where a router stands and once around', () => {
-    const kept = createCacheDirectory()
+    const directory = createCacheDirectory()
     const ids = ['e1', 'e2', 'e3']
     for (const id of ids) {
-      const parts = [createPart(V1, 'a', 60), createPart(V1, 'b', 30)]
-      kept.apply({ kind: 'engine', id, address: id }, parts)
+      const parts = [createEntry(V1, 'a', 60), createEntry(V1, 'b', 30)]
+      directory.apply({ kind: 'engine', id, address: id }, parts)
     }
     const reported: string[][] = []
     let position = { after: 'e1', left: Number.MAX_SAFE_INTEGER }
     while (position.left > 0) {
-      const piece = kept.takePiece(position, 4)
+      const piece = directory.readPage(position, 4)
       reported.push(piece.placements.map(([place]) => place))
-      position = piece.position
+      position = piece.cursor
     }
     expect(reported).to.deep.equal([['e2', 'e3'], ['e1']])
-    expect(kept.takePiece(position, 4).placements).to.deep.equal([])
+    expect(directory.readPage(position, 4).placements).to.deep.equal([])
   })
 
   it('reports one place at least, however many parts it keeps', () => {
-    const kept = createCacheDirectory()
-    kept.apply(ENGINE, [createPart(V1, 'a', 60), createPart(V1, 'b', 30)])
-    const piece = kept.takePiece({ after: '', left: Number.MAX_SAFE_INTEGER }, 1)
+    const directory = createCacheDirectory()
+    directory.apply(ENGINE, [createEntry(V1, 'a', 60), createEntry(V1, 'b', 30)])
+    const piece = directory.readPage({ after: '', left: Number.MAX_SAFE_INTEGER }, 1)
     expect(piece.placements).to.have.length(1)
-    expect(piece.position.left).to.equal(0)
+    expect(piece.cursor.left).to.equal(0)
   })
 
   it('takes no notice of parts under a scope that is not of the fleet', () => {
-    const kept = createCacheDirectory()
-    expect(kept.apply(ENGINE, [createPart('forged', 'a', 60)])).to.deep.equal([])
+    const directory = createCacheDirectory()
+    expect(directory.apply(ENGINE, [createEntry('forged', 'a', 60)])).to.deep.equal([])
   })
 })
 
@@ -124,15 +124,15 @@
     return createCacheWatch({
       member: { status: () => ({ role: 'leader' }), elected } as unknown as RaftMember,
       machine,
-      calls,
+      client: calls,
       table: { current: () => undefined, isKnownGroup: () => true },
       timers,
       logger: createQuietLogger(),
-      onKept: (placements) => reported.push(...placements),
+      onCacheChanges: (placements) => reported.push(...placements),
     })
   }
 
-  async function watchNews(
+  async function watchEvents(
     news: (call: number, after: number) => CacheEvents,
     list: (call: number) => CacheEntry[],
   ) {
@@ -147,7 +147,7 @@
         asked.push(after)
         return news(asked.length, after)
       },
-      listParts: async () => {
+      fetchSnapshot: async () => {
         lists += 1
         return { epoch: 1, next: 5, parts: list(lists) }
       },
@@ -164,14 +164,14 @@
   }
 
   it('begins with the whole list, and goes on after the last change that was reported to it', async () => {
-    const { reported, asked, lists } = await watchNews(
+    const { reported, asked, lists } = await watchEvents(
       (call) => ({
         epoch: 1,
         next: call * 10,
         hasGap: false,
-        changes: call === 1 ? [createPart(V1, 'a', 60)] : [],
+        changes: call === 1 ? [createEntry(V1, 'a', 60)] : [],
       }),
-      () => [createPart(V1, 'b', 30)],
+      () => [createEntry(V1, 'b', 30)],
     )
     expect(lists).to.equal(1)
     expect(asked.slice(0, 3)).to.deep.equal([5, 10, 20])
@@ -182,9 +182,9 @@
   })
 
   it('asks for the whole list again where events are missing', async () => {
-    const { reported, asked } = await watchNews(
+    const { reported, asked } = await watchEvents(
       (call) => ({ epoch: 1, next: 9, hasGap: call === 1, changes: [] }),
-      (call) => (call === 1 ? [createPart(V1, 'a', 60)] : [createPart(V1, 'b', 30)]),
+      (call) => (call === 1 ? [createEntry(V1, 'a', 60)] : [createEntry(V1, 'b', 30)]),
     )
     expect(asked.slice(0, 2)).to.deep.equal([5, 5])
     expect(reported).to.deep.equal([
@@ -195,7 +195,7 @@
   })
 
   it('starts at the first change of a new life', async () => {
-    const { asked } = await watchNews(
+    const { asked } = await watchEvents(
       (call) => ({ epoch: call < 2 ? 1 : 2, next: 50, hasGap: false, changes: [] }),
       () => [],
     )
@@ -215,7 +215,7 @@
     const releases: (() => void)[] = []
     const calls: CacheClient = {
       waitForChanges: () => new Promise(() => {}),
-      listParts: (address) => {
+      fetchSnapshot: (address) => {
         listed.push(address)
         return new Promise((resolve) => {
           releases.push(() => resolve({ epoch: 1, next: 1, parts: [] }))
@@ -245,7 +245,7 @@
   })
 
   describe('with a new leader', () => {
-    const answer: CacheSnapshot = { epoch: 1, next: 1, parts: [createPart(V1, 'a', 9)] }
+    const answer: CacheSnapshot = { epoch: 1, next: 1, parts: [createEntry(V1, 'a', 9)] }
 
     /** Watches one engine whose first answer comes when `release` is called. */
     function watchSlowEngine() {
@@ -255,7 +255,7 @@
       let release: (list: CacheSnapshot) => void = () => {}
       const calls: CacheClient = {
         waitForChanges: () => new Promise(() => {}),
-        listParts: () => new Promise((resolve) => (release = resolve)),
+        fetchSnapshot: () => new Promise((resolve) => (release = resolve)),
       }
       const watch = createWatch({ calls, machine, timers, reported })
       // The engine is known only once the leader has applied its log.
--- a/packages/control/src/__tests__/feedSimulation.ts
+++ b/packages/control/src/__tests__/feedSimulation.ts
@@ -55,17 +55,17 @@
   /** By router, ms from the election to its first table; undefined for none yet. */
   readonly tableMs: readonly (number | undefined)[]
   /** By router, parts that were reported to it. */
-  readonly keptParts: readonly number[]
+  readonly cachedParts: readonly number[]
   /** What the routers have logged. */
-  readonly lines: readonly string[]
+  readonly logLines: readonly string[]
   /** Longest time that the work of the leader was late, in ms: its heartbeats wait as long. */
   longestLagMs(): number
   /** Requests that reached the leader. */
-  asks(): number
+  countLeaderRequests(): number
   /** Puts a table with so many routes; control accepts it at once. */
   putTable(version: number, routes: number): void
   /** By router, ms from the acceptance of a version until the router had it, or a newer one. */
-  listAges(version: number): readonly (number | undefined)[]
+  listPropagationMs(version: number): readonly (number | undefined)[]
   run(duration: number): Promise<void>
   close(): Promise<void>
 }
@@ -76,7 +76,7 @@
 /** Turns of this process's event loop in one step, so that promises that are due settle. */
 const TURNS_PER_STEP = 4
 /** One way between data halls, in ms. */
-const DELAY_MS = 1
+const NETWORK_DELAY_MS = 1
 /** Work of a request beside its bytes, in ms of a whole core; as docs/CAPACITY.md reckons. */
 const REQUEST_MS = 0.25
 /** Writing and reading of JSON, in ms of a whole core for a byte: measured on replies of 120 to 270 KB. */
@@ -86,7 +86,7 @@
  * The first pieces of work of a process that has just started take longer: writing a reply of 140 KB
  * took 2.2, 1.7 and from then on 0.8 ms.
  */
-const COLD_FACTORS = [2.8, 2.1]
+const WARM_UP_FACTORS = [2.8, 2.1]
 const BITS_PER_BYTE = 8
 const BITS_PER_MS_AND_MBPS = 1_000
 const ROUTES = 44
@@ -122,7 +122,7 @@
   readonly ages: (number | undefined)[]
 }
 
-interface Place {
+interface Host {
   readonly processor: Resource
   /** Pieces of work done so far. */
   workDone: number
@@ -167,7 +167,7 @@
   return machine
 }
 
-function createKept({ engines, partsPerEngine }: FeedSimulationOptions) {
+function createDirectory({ engines, partsPerEngine }: FeedSimulationOptions) {
   const kept = createCacheDirectory()
   const scope = formatCacheScope(undefined, 4)
   for (let index = 0; index < engines; index += 1) {
@@ -186,12 +186,12 @@
 export function createFeedSimulation(options: FeedSimulationOptions): FeedSimulation {
   const timers = createManualTimerService()
   const machine = createMachine(options.engines)
-  const kept = createKept(options)
+  const directory = createDirectory(options)
   const urls = Array.from({ length: INSTANCES }, (_, index) => `http://control-${index}`)
   const leaderUrl = urls[INSTANCES - 1]
   const isElected = () => timers.now() >= options.electedAt
   const lines: string[] = []
-  let asks = 0
+  let leaderRequests = 0
   let longestLagMs = 0
 
   const createMember = (url: string) =>
@@ -207,7 +207,7 @@
       checkCurrent: () => {},
     }) as unknown as RaftMember
   /** A turn of an event loop lasts as long as the work that was begun in it. */
-  const createTurns = ({ processor }: Place) =>
+  const createTurns = ({ processor }: Host) =>
     createTurnQueue((run) => {
       timers.after(Math.max(STEP_MS, processor.backlogMs())).subscribe(run)
     })
@@ -222,7 +222,7 @@
     timers,
     stopping: NEVER,
   })
-  const createSource = (url: string, place: Place): FeedSource =>
+  const createSource = (url: string, place: Host): FeedSource =>
     createFeedSource({
       member: createMember(url),
       blame: createBlameSource({
@@ -237,12 +237,12 @@
       tables,
       findConditions: () => ({ loading: [], expired: [], silent: [], stores: [] }),
       conditionChanges: NEVER,
-      kept,
-      waitForKept: async () => {},
+      cacheDirectory: directory,
+      waitForCacheDirectory: async () => {},
       stopping: NEVER,
       turns: createTurns(place),
     })
-  const createPlace = (cores: number, mbps: number): Place => ({
+  const createHost = (cores: number, mbps: number): Host => ({
     processor: createResource(timers),
     workDone: 0,
     link: createResource(timers),
@@ -251,16 +251,16 @@
   })
   const instances = new Map(
     urls.map((url) => {
-      const place = createPlace(options.controlCores, options.controlMbps)
+      const place = createHost(options.controlCores, options.controlMbps)
       return [url, { source: createSource(url, place), place }]
     }),
   )
-  const work = (place: Place, ms: number) => {
-    const factor = COLD_FACTORS[place.workDone] ?? 1
+  const work = (place: Host, ms: number) => {
+    const factor = WARM_UP_FACTORS[place.workDone] ?? 1
     place.workDone += 1
     return place.processor.use((ms * factor) / place.cores)
   }
-  const carry = (place: Place, bytes: number) =>
+  const transfer = (place: Host, bytes: number) =>
     place.link.use((bytes * BITS_PER_BYTE) / (place.mbps * BITS_PER_MS_AND_MBPS))
 
   const answerAt = (source: FeedSource, path: string, asked: string, response: ServerResponse) =>
@@ -268,39 +268,39 @@
       ? tableSource.answer(JSON.parse(asked) as TableRequest, response)
       : source.answer(JSON.parse(asked) as FeedRequest, response)
   const sendOver = async (
-    router: Place,
+    router: Host,
     { origin: url, pathname }: URL,
     json: unknown,
     response: ServerResponse,
   ) => {
-    const { source, place } = instances.get(url) as { source: FeedSource; place: Place }
+    const { source, place } = instances.get(url) as { source: FeedSource; place: Host }
     const asked = JSON.stringify(json)
-    await carry(router, asked.length)
-    await new Promise<void>((resolve) => timers.after(DELAY_MS).subscribe(() => resolve()))
+    await transfer(router, asked.length)
+    await new Promise<void>((resolve) => timers.after(NETWORK_DELAY_MS).subscribe(() => resolve()))
     await work(place, REQUEST_MS + asked.length * READ_MS_PER_BYTE)
-    if (url === leaderUrl) asks += 1
+    if (url === leaderUrl) leaderRequests += 1
     const reply = JSON.stringify(await answerAt(source, pathname, asked, response))
     // What the caller no longer waits for was built all the same, but is not sent.
     await work(place, REQUEST_MS + reply.length * WRITE_MS_PER_BYTE)
     if (url === leaderUrl) longestLagMs = Math.max(longestLagMs, place.processor.backlogMs())
     if (response.destroyed) throw new Error('the caller has gone')
-    await carry(place, reply.length)
-    await carry(router, reply.length)
+    await transfer(place, reply.length)
+    await transfer(router, reply.length)
     await work(router, REQUEST_MS + reply.length * READ_MS_PER_BYTE)
     return JSON.parse(reply) as never
   }
-  const createClient = (router: Place): HttpClient => ({
+  const createClient = (router: Host): HttpClient => ({
     send: () => Promise.reject(new Error('not used here')),
     sendJson: ({ url, json, signal }) =>
       new Promise((resolve, reject) => {
         const response = new EventEmitter() as ServerResponse
-        const leave = () => {
+        const abort = () => {
           response.destroyed = true
           response.emit('close')
           reject(new ConnectionError('gave up', false, true))
         }
-        if (signal?.aborted) return leave()
-        signal?.addEventListener('abort', leave, { once: true })
+        if (signal?.aborted) return abort()
+        signal?.addEventListener('abort', abort, { once: true })
         void sendOver(router, new URL(url), json, response).then(resolve, reject)
       }),
     close: () => {},
@@ -311,10 +311,10 @@
   })
   const tableMs: (number | undefined)[] = []
   const accepted = new Map<number, AcceptedTable>()
-  const keptParts: number[] = []
+  const cachedParts: number[] = []
   const followers = Array.from({ length: options.routers }, (_, index) => {
-    const place = createPlace(options.routerCores, options.routerMbps)
-    keptParts.push(0)
+    const place = createHost(options.routerCores, options.routerMbps)
+    cachedParts.push(0)
     tableMs.push(undefined)
     const follower = createFeedClient({
       router: `router-${index}`,
@@ -335,8 +335,8 @@
       onTrial: () => {},
       limits: NO_LIMITS,
       quotas: NO_QUOTAS,
-      onKept: (placements) => {
-        for (const [, , ...pairs] of placements) keptParts[index] += pairs.length / 2
+      onCacheChanges: (placements) => {
+        for (const [, , ...pairs] of placements) cachedParts[index] += pairs.length / 2
       },
     })
     follower.changes.subscribe(({ index: { table } }) => {
@@ -362,10 +362,10 @@
     followers,
     timers,
     tableMs,
-    keptParts,
-    lines,
+    cachedParts: cachedParts,
+    logLines: lines,
     longestLagMs: () => longestLagMs,
-    asks: () => asks,
+    countLeaderRequests: () => leaderRequests,
     putTable: (version, routes) => {
       const ages = followers.map(() => undefined)
       accepted.set(version, { acceptedAt: timers.now(), ages })
@@ -374,7 +374,7 @@
         version,
       )
     },
-    listAges: (version) => accepted.get(version)?.ages ?? [],
+    listPropagationMs: (version) => accepted.get(version)?.ages ?? [],
     run,
     close: async () => {
       const closed = Promise.all(followers.map((follower) => follower.close()))
--- a/packages/control/src/__tests__/feedSource.spec.ts
+++ b/packages/control/src/__tests__/feedSource.spec.ts
@@ -15,9 +15,9 @@
 /** A leader that learns what engines keep when `tell` is called. */
 function createLeader() {
   let isKnown = false
-  let tell = () => {}
+  let resolveCached = () => {}
   const known = new Promise<void>((resolve) => {
-    tell = () => {
+    resolveCached = () => {
       isKnown = true
       resolve()
     }
@@ -39,16 +39,16 @@
     tables: { findUpdate: () => undefined },
     findConditions: () => ({ loading: [], expired: [], silent: [], stores: [] }),
     conditionChanges: NEVER,
-    kept: {
-      takePiece: () => ({
+    cacheDirectory: {
+      readPage: () => ({
         placements: isKnown ? [['e1', 1, 11, 60]] : [],
         position: { after: '', left: 0 },
       }),
     },
-    waitForKept: () => known,
+    waitForCacheDirectory: () => known,
     stopping: NEVER,
   })
-  return { source, tell }
+  return { source, tell: resolveCached }
 }
 
 function buildRequest(known: Partial<FeedRequest>): FeedRequest {
--- a/packages/control/src/__tests__/feedStartup.spec.ts
+++ b/packages/control/src/__tests__/feedStartup.spec.ts
@@ -47,14 +47,14 @@
 describe('routers that all start before a leader is elected', () => {
   for (const [name, options] of Object.entries(SIZES)) {
     it(`${name} have the table within 2 s of the election, and all that is kept`, async () => {
-      const herd = createFeedSimulation(options)
-      await herd.run(options.electedAt + LAST_TABLE_MS)
-      expect(herd.tableMs.filter((ms) => ms === undefined)).to.have.length(0)
-      await herd.run(LAST_TABLE_MS)
+      const simulation = createFeedSimulation(options)
+      await simulation.run(options.electedAt + LAST_TABLE_MS)
+      expect(simulation.tableMs.filter((ms) => ms === undefined)).to.have.length(0)
+      await simulation.run(LAST_TABLE_MS)
       const all = options.engines * options.partsPerEngine
-      expect(Math.min(...herd.keptParts)).to.be.at.least(all)
-      expect(herd.longestLagMs()).to.be.below(LONGEST_LAG_MS)
-      await herd.close()
+      expect(Math.min(...simulation.cachedParts)).to.be.at.least(all)
+      expect(simulation.longestLagMs()).to.be.below(LONGEST_LAG_MS)
+      await simulation.close()
     }).timeout(120_000)
   }
 })
--- a/packages/control/src/__tests__/tableDistribution.spec.ts
+++ b/packages/control/src/__tests__/tableDistribution.spec.ts
@@ -62,22 +62,24 @@
 describe('routers of a fleet whose table is changed', () => {
   for (const [name, options] of Object.entries(SIZES)) {
     it(`${name}: have each change in time, and never take a long answer for a lost leader`, async () => {
-      const herd = createFeedSimulation(options)
-      await herd.run(options.electedAt + SETTLED_MS)
-      const linesBefore = herd.lines.length
-      herd.putTable(8, options.routes)
-      await herd.run(BETWEEN_MS)
-      herd.putTable(9, options.routes)
-      await herd.run(SETTLED_MS)
-      herd.putTable(12, options.routes)
-      await herd.run(SETTLED_MS)
-      const lost = herd.lines.slice(linesBefore).filter((line) => line.includes('control.lost'))
+      const simulation = createFeedSimulation(options)
+      await simulation.run(options.electedAt + SETTLED_MS)
+      const linesBefore = simulation.logLines.length
+      simulation.putTable(8, options.routes)
+      await simulation.run(BETWEEN_MS)
+      simulation.putTable(9, options.routes)
+      await simulation.run(SETTLED_MS)
+      simulation.putTable(12, options.routes)
+      await simulation.run(SETTLED_MS)
+      const lost = simulation.logLines
+        .slice(linesBefore)
+        .filter((line) => line.includes('control.lost'))
       expect(lost).to.have.length(0)
       for (const [version, most] of [[8, LARGE_MS] as const, [9, LARGE_MS], [12, SMALL_MS]]) {
-        const ages = herd.listAges(version).map((age) => age ?? Infinity)
+        const ages = simulation.listPropagationMs(version).map((age) => age ?? Infinity)
         expect(Math.max(...ages), `last router with version ${version}`).to.be.below(most)
       }
-      await herd.close()
+      await simulation.close()
     }).timeout(240_000)
   }
 })
--- a/packages/control/src/__tests__/tableProof.spec.ts
+++ b/packages/control/src/__tests__/tableProof.spec.ts
@@ -58,7 +58,7 @@
     onTrial: () => {},
     limits: NO_LIMITS,
     quotas: NO_QUOTAS,
-    onKept: () => {},
+    onCacheChanges: () => {},
   })
   const run = async (duration: number) => {
     for (let spent = 0; spent < duration; spent += STEP_MS) {
--- a/packages/control/src/registry/cacheDirectory.ts
+++ b/packages/control/src/registry/cacheDirectory.ts
@@ -36,45 +36,45 @@
    * Takes the next places of the list for a router that stands at a position in it: as many as hold
    * `maxParts`, and one at least. A position whose `left` is larger than the list means all of it.
    */
-  takePiece(position: CacheListCursor, maxParts: number): CacheListPage
+  readPage(position: CacheListCursor, maxParts: number): CacheListPage
 }
 
 /** A piece of the list of all that is kept. */
 export interface CacheListPage {
   readonly placements: readonly Placement[]
   /** Where the router stands once it has the piece. */
-  readonly position: CacheListCursor
+  readonly cursor: CacheListCursor
 }
 
-interface VersionParts {
-  readonly place: string
+interface VersionEntries {
+  readonly location: string
   readonly version: number
   /** Tokens by the hash of the part. */
   readonly tokens: Map<number, number>
 }
 
 /** Name of a place for one weights version, as routers know it. */
-function formatPlaceId(place: CacheLocation, version: number): string {
+function formatLocationId(place: CacheLocation, version: number): string {
   if (place.kind === 'engine') return place.id
   return formatStoreId(place.address, place.epoch, version)
 }
 
-function formatPlaceKey(place: CacheLocation): string {
+function formatLocationKey(place: CacheLocation): string {
   return place.kind === 'engine' ? place.id : `${place.address}/${place.epoch}`
 }
 
-function buildListing({ place, version, tokens }: VersionParts): Placement {
+function buildPlacement({ location: place, version, tokens }: VersionEntries): Placement {
   return [place, version, ...[...tokens].flat()]
 }
 
 /** Creates an index that knows of nothing. */
 export function createCacheDirectory(): CacheDirectory {
-  const places = new Map<string, Map<number, VersionParts>>()
+  const locations = new Map<string, Map<number, VersionEntries>>()
 
   const openVersions = (place: CacheLocation) => {
-    const key = formatPlaceKey(place)
-    const versions = places.get(key) ?? new Map<number, VersionParts>()
-    places.set(key, versions)
+    const key = formatLocationKey(place)
+    const versions = locations.get(key) ?? new Map<number, VersionEntries>()
+    locations.set(key, versions)
     return versions
   }
   const openParts = (place: CacheLocation, version: number) => {
@@ -83,7 +83,7 @@
     if (known) return known
     // An engine drops what it read under earlier weights; a store keeps it.
     if (place.kind === 'engine') versions.clear()
-    const created = { place: formatPlaceId(place, version), version, tokens: new Map() }
+    const created = { place: formatLocationId(place, version), version, tokens: new Map() }
     versions.set(version, created)
     return created
   }
@@ -103,28 +103,28 @@
       reported.set(version, (reported.get(version) ?? new Map<number, number>()).set(hash, tokens))
     }
     return [...reported].map(([version, last]) => {
-      return [formatPlaceId(place, version), version, ...[...last].flat()]
+      return [formatLocationId(place, version), version, ...[...last].flat()]
     })
   }
   const listVersions = () =>
-    [...places.values()]
+    [...locations.values()]
       .flatMap((versions) => [...versions.values()])
       .filter(({ tokens }) => tokens.size > 0)
-  const takePiece: CacheDirectory['takePiece'] = ({ after, left }, maxParts) => {
-    if (left <= 0) return { placements: [], position: { after, left: 0 } }
-    const ordered = listVersions().sort((a, b) => (a.place < b.place ? -1 : 1))
-    const reported = ordered.filter(({ place }) => place <= after)
+  const readPage: CacheDirectory['readPage'] = ({ after, left }, maxParts) => {
+    if (left <= 0) return { placements: [], cursor: { after, left: 0 } }
+    const ordered = listVersions().sort((a, b) => (a.location < b.location ? -1 : 1))
+    const reported = ordered.filter(({ location: place }) => place <= after)
     // Behind the last name comes the first again.
-    const coming = [...ordered.slice(reported.length), ...reported].slice(0, left)
+    const remaining = [...ordered.slice(reported.length), ...reported].slice(0, left)
     let parts = 0
-    const end = coming.findIndex(({ tokens }, index) => {
+    const end = remaining.findIndex(({ tokens }, index) => {
       parts += tokens.size
       return index > 0 && parts > maxParts
     })
-    const piece = end === -1 ? coming : coming.slice(0, end)
+    const page = end === -1 ? remaining : remaining.slice(0, end)
     return {
-      placements: piece.map(buildListing),
-      position: { after: piece.at(-1)?.place ?? after, left: coming.length - piece.length },
+      placements: page.map(buildPlacement),
+      cursor: { after: page.at(-1)?.location ?? after, left: remaining.length - page.length },
     }
   }
   return {
@@ -132,15 +132,15 @@
     replace: (place, parts) => {
       const listed = new Set(parts.map(({ scope, id }) => hashPart(scope, id)))
       const gone: Placement[] = []
-      for (const { place: name, version, tokens } of openVersions(place).values()) {
+      for (const { location: name, version, tokens } of openVersions(place).values()) {
         const missing = [...tokens.keys()].filter((hash) => !listed.has(hash))
         for (const hash of missing) tokens.delete(hash)
         if (missing.length > 0) gone.push([name, version, ...missing.flatMap((hash) => [hash, 0])])
       }
       return [...gone, ...apply(place, parts)]
     },
-    forget: (place) => void places.delete(formatPlaceKey(place)),
-    list: () => listVersions().map(buildListing),
-    takePiece,
+    forget: (place) => void locations.delete(formatLocationKey(place)),
+    list: () => listVersions().map(buildPlacement),
+    readPage: readPage,
   }
 }
--- a/packages/control/src/registry/cacheWatch.ts
+++ b/packages/control/src/registry/cacheWatch.ts
@@ -35,7 +35,7 @@
    * Fetches the whole list; it holds up the work there.
    * @throws ConnectionError or SpoolgateError when there is no readable answer.
    */
-  listParts(address: string, signal: AbortSignal): Promise<CacheSnapshot>
+  fetchSnapshot(address: string, signal: AbortSignal): Promise<CacheSnapshot>
 }
 
 /** What an engine or store keeps. */
@@ -62,21 +62,21 @@
 export interface CacheWatchOptions {
   readonly member: RaftMember
   readonly machine: ControlMachine
-  readonly calls: CacheClient
+  readonly client: CacheClient
   readonly table: Pick<DecodedTable, 'current' | 'isKnownGroup'>
   readonly timers: TimerService
   readonly logger: Logger
   /** Called with what is to be reported to routers. */
-  readonly onKept: (placements: readonly Placement[]) => void
+  readonly onCacheChanges: (placements: readonly Placement[]) => void
 }
 
 /** The watch; see {@link createCacheWatch}. */
 export interface CacheWatch {
   /** Stores that answered last time. */
-  listLives(): readonly ReachableStore[]
+  listReachableStores(): readonly ReachableStore[]
   /** What is known to be kept. */
-  readonly kept: Pick<CacheDirectory, 'takePiece'>
-  /** Waits until every place has answered once, or for {@link FIRST_ANSWERS_MS}. */
+  readonly directory: Pick<CacheDirectory, 'takePiece'>
+  /** Waits until every place has answered once, or for {@link FIRST_ANSWERS_TIMEOUT_MS}. */
   waitForFirstAnswers(): Promise<void>
   /** Emits when the lives of stores changed. */
   readonly changes: Observable<void>
@@ -84,24 +84,24 @@
 }
 
 /** Time between two looks at what there is to watch, in ms. */
-const LOOK_PERIOD_MS = 300
+const REFRESH_PERIOD_MS = 300
 /** Pause between two calls to one place, in ms: what routers know is about this old. */
 const PAUSE_MS = 100
 /** Added to the pause for each place, in ms, so that the leader makes 60 calls a second at most. */
-const PAUSE_PER_PLACE_MS = 16
+const PAUSE_PER_CACHE_MS = 16
 /**
  * Longest wait for the first answers of all places, in ms; they come within 15 ms of an engine that
  * is alive. Routers that start after a loss of everything choose by what is kept, not by nothing:
  * else they had nine tenths of all prompt tokens read again in the seconds after it.
  */
-const FIRST_ANSWERS_MS = 100
+const FIRST_ANSWERS_TIMEOUT_MS = 100
 /** Pause after a place did not answer, in ms. */
-const FAILED_PAUSE_MS = 300
+const RETRY_PAUSE_MS = 300
 /**
  * Whole lists that are asked for at the same time: 23 took a new leader, on half of a third of a core,
  * 0.31 s, in which it sent no heartbeats. By that slope 16 take it 0.08 s on half of 0.86 of a core.
  */
-const LISTS_AT_ONCE = 16
+const MAX_CONCURRENT_SNAPSHOTS = 16
 /** Engines up to which the leader watches them; beyond, their events would outgrow its part. */
 const MAX_ENGINES = 48
 
@@ -112,7 +112,7 @@
 }
 
 /** Identity under which a place is watched: a store whatever its life, an engine's incarnation. */
-interface WatchedPlace {
+interface WatchedCache {
   readonly key: string
   readonly address: string
   /** Incarnation of an engine; undefined for a store. */
@@ -121,112 +121,112 @@
 
 /** Creates the watch and starts its task. */
 export function createCacheWatch(options: CacheWatchOptions): CacheWatch {
-  const { member, machine, calls, timers, logger } = options
+  const { member, machine, client: calls, timers, logger } = options
   const stopping = new AbortController()
   // One listener for each place that is watched; Node would write a warning from the eleventh on.
   setMaxListeners(0, stopping.signal)
   const changes = new Subject<void>()
-  const lives = new Map<string, number>()
-  const watched = new Map<string, WatchedPlace>()
+  const storeEpochs = new Map<string, number>()
+  const watched = new Map<string, WatchedCache>()
   /** Places that were watched for a while or have answered, so that nobody waits for them. */
   const settled = new Set<string>()
   const settledChanges = new Subject<void>()
-  const kept = createCacheDirectory()
-  const late = new Subscription()
-  const listing = new Subject<() => Promise<void>>()
-  listing.pipe(mergeMap((list) => list(), LISTS_AT_ONCE)).subscribe()
+  const directory = createCacheDirectory()
+  const settleTimers = new Subscription()
+  const snapshotQueue = new Subject<() => Promise<void>>()
+  snapshotQueue.pipe(mergeMap((list) => list(), MAX_CONCURRENT_SNAPSHOTS)).subscribe()
 
-  const listStores = (): WatchedPlace[] =>
+  const listStores = (): WatchedCache[] =>
     (options.table.current()?.stores ?? []).map(({ address }) => ({
       key: address,
       address,
       engine: undefined,
     }))
-  const listEngines = (): WatchedPlace[] => {
+  const listEngines = (): WatchedCache[] => {
     const engines = machine.servers.list().filter(({ weights }) => weights.length > 0)
     if (engines.length > MAX_ENGINES) return []
     return engines.map(({ id, address }) => ({ key: id, address, engine: id }))
   }
-  const listPlaces = () =>
+  const listCaches = () =>
     member.status().role === 'leader' ? [...listStores(), ...listEngines()] : []
 
-  const recordLife = (address: string, epoch: number | undefined) => {
-    const before = lives.get(address)
+  const recordStoreEpoch = (address: string, epoch: number | undefined) => {
+    const before = storeEpochs.get(address)
     if (before === epoch) return
-    if (before !== undefined) kept.forget({ kind: 'store', address, epoch: before })
-    if (epoch === undefined) lives.delete(address)
-    else lives.set(address, epoch)
+    if (before !== undefined) directory.forget({ kind: 'store', address, epoch: before })
+    if (epoch === undefined) storeEpochs.delete(address)
+    else storeEpochs.set(address, epoch)
     logger.info('store.life', { address, epoch, before })
     changes.next()
   }
-  const toCachePlace = ({ address, engine }: WatchedPlace, epoch: number): CacheLocation =>
+  const toCacheLocation = ({ address, engine }: WatchedCache, epoch: number): CacheLocation =>
     engine === undefined
       ? { kind: 'store', address, epoch }
       : { kind: 'engine', id: engine, address }
-  const applyNews = (place: WatchedPlace, news: CacheEvents) => {
-    if (place.engine === undefined) recordLife(place.address, news.epoch)
-    const at = toCachePlace(place, news.epoch)
-    options.onKept(kept.apply(at, news.changes))
+  const applyEvents = (place: WatchedCache, news: CacheEvents) => {
+    if (place.engine === undefined) recordStoreEpoch(place.address, news.epoch)
+    const at = toCacheLocation(place, news.epoch)
+    options.onCacheChanges(directory.apply(at, news.changes))
   }
   /**
    * Takes over the whole list. A new leader begins with it: the events since the start of an engine
    * are thousands, and reading them took the leader longer than its first answers may wait.
    */
-  const applyList = async (place: WatchedPlace, reason: string): Promise<Position> => {
-    const { epoch, next, parts } = await listInTurn(place)
-    if (place.engine === undefined) recordLife(place.address, epoch)
+  const applySnapshot = async (place: WatchedCache, reason: string): Promise<Position> => {
+    const { epoch, next, parts } = await fetchInTurn(place)
+    if (place.engine === undefined) recordStoreEpoch(place.address, epoch)
     logger.info('cache.listed', { place: place.key, parts: parts.length, reason })
-    options.onKept(kept.replace(toCachePlace(place, epoch), parts))
+    options.onCacheChanges(directory.replace(toCacheLocation(place, epoch), parts))
     return { epoch, after: next }
   }
-  const listInTurn = ({ address }: WatchedPlace) =>
+  const fetchInTurn = ({ address }: WatchedCache) =>
     new Promise<CacheSnapshot>((resolve, reject) => {
-      listing.next(() => calls.listParts(address, stopping.signal).then(resolve, reject))
+      snapshotQueue.next(() => calls.fetchSnapshot(address, stopping.signal).then(resolve, reject))
     })
-  const followEvents = async (place: WatchedPlace, { epoch, after }: Position) => {
+  const followEvents = async (place: WatchedCache, { epoch, after }: Position) => {
     const news = await calls.waitForChanges(place.address, after, stopping.signal)
     if (!isWatching(place)) return { epoch, after }
     // Numbers start anew with each life.
     if (news.epoch !== epoch) return { epoch: news.epoch, after: 0 }
-    if (news.hasGap) return applyList(place, 'events lost')
-    applyNews(place, news)
+    if (news.hasGap) return applySnapshot(place, 'events lost')
+    applyEvents(place, news)
     return { epoch, after: news.next }
   }
-  const recordLost = (place: WatchedPlace, cause: unknown) => {
+  const recordUnreachable = (place: WatchedCache, cause: unknown) => {
     const { key, address, engine } = place
-    const isKnown = engine === undefined ? lives.has(address) : true
+    const isKnown = engine === undefined ? storeEpochs.has(address) : true
     const reason = toSpoolgateError(cause).message
     if (isKnown) logger.warn('cache.lost', { place: key, reason })
-    if (engine === undefined) recordLife(address, undefined)
+    if (engine === undefined) recordStoreEpoch(address, undefined)
   }
-  const settlePlace = ({ key }: WatchedPlace) => {
+  const settleCache = ({ key }: WatchedCache) => {
     if (settled.has(key)) return
     settled.add(key)
     settledChanges.next()
   }
-  const isSettled = () => [...watched.keys()].every((key) => settled.has(key))
-  const isWatching = ({ key }: WatchedPlace) => !stopping.signal.aborted && watched.has(key)
-  const watchPlace = async (place: WatchedPlace) => {
+  const isEachSettled = () => [...watched.keys()].every((key) => settled.has(key))
+  const isWatching = ({ key }: WatchedCache) => !stopping.signal.aborted && watched.has(key)
+  const watchCache = async (place: WatchedCache) => {
     let position: Position | undefined
     while (isWatching(place)) {
       try {
         position = position
           ? await followEvents(place, position)
-          : await applyList(place, 'first contact')
-        settlePlace(place)
-        await waitFor(timers, PAUSE_MS + watched.size * PAUSE_PER_PLACE_MS, stopping.signal)
+          : await applySnapshot(place, 'first contact')
+        settleCache(place)
+        await waitFor(timers, PAUSE_MS + watched.size * PAUSE_PER_CACHE_MS, stopping.signal)
       } catch (cause) {
         if (!isWatching(place)) break
-        recordLost(place, cause)
-        settlePlace(place)
-        await waitFor(timers, FAILED_PAUSE_MS, stopping.signal)
+        recordUnreachable(place, cause)
+        settleCache(place)
+        await waitFor(timers, RETRY_PAUSE_MS, stopping.signal)
       }
     }
-    if (place.engine === undefined) recordLife(place.address, undefined)
-    else kept.forget({ kind: 'engine', id: place.engine, address: place.address })
+    if (place.engine === undefined) recordStoreEpoch(place.address, undefined)
+    else directory.forget({ kind: 'engine', id: place.engine, address: place.address })
   }
-  const look = () => {
-    const places = new Map(listPlaces().map((place) => [place.key, place]))
+  const refreshWatches = () => {
+    const places = new Map(listCaches().map((place) => [place.key, place]))
     for (const key of watched.keys()) {
       if (places.has(key)) continue
       watched.delete(key)
@@ -235,33 +235,33 @@
     for (const [key, place] of places) {
       if (watched.has(key)) continue
       watched.set(key, place)
-      late.add(timers.after(FIRST_ANSWERS_MS).subscribe(() => settlePlace(place)))
-      void watchPlace(place)
+      settleTimers.add(timers.after(FIRST_ANSWERS_TIMEOUT_MS).subscribe(() => settleCache(place)))
+      void watchCache(place)
     }
   }
   const run = async () => {
     while (!stopping.signal.aborted) {
-      look()
-      await waitFor(timers, LOOK_PERIOD_MS, stopping.signal)
+      refreshWatches()
+      await waitFor(timers, REFRESH_PERIOD_MS, stopping.signal)
     }
   }
   const running = run()
   // The log that a new leader applies names the engines; waiting for the next look would be late.
-  const news = merge(member.elected, machine.fleetChanges).subscribe(look)
+  const refreshes = merge(member.elected, machine.fleetChanges).subscribe(refreshWatches)
   return {
-    listLives: () => [...lives].map(([address, epoch]) => ({ address, epoch })),
-    kept,
+    listReachableStores: () => [...storeEpochs].map(([address, epoch]) => ({ address, epoch })),
+    directory: directory,
     waitForFirstAnswers: async () => {
-      const isOver = settledChanges.pipe(filter(isSettled))
-      if (!isSettled()) await firstValueFrom(isOver, { defaultValue: undefined })
+      const isOver = settledChanges.pipe(filter(isEachSettled))
+      if (!isEachSettled()) await firstValueFrom(isOver, { defaultValue: undefined })
     },
     changes,
     close: async () => {
       stopping.abort()
-      news.unsubscribe()
-      late.unsubscribe()
+      refreshes.unsubscribe()
+      settleTimers.unsubscribe()
       settledChanges.complete()
-      listing.complete()
+      snapshotQueue.complete()
       await running
     },
   }
--- a/packages/control/src/registry/decodedTable.ts
+++ b/packages/control/src/registry/decodedTable.ts
@@ -34,24 +34,24 @@
   decodeTable,
   logger,
 }: DecodedTableOptions): DecodedTable {
-  let readVersion: number | undefined
-  let known: RoutingTable | undefined
+  let decodedVersion: number | undefined
+  let decoded: RoutingTable | undefined
   let groups: ReadonlySet<string> = new Set()
   let quotas: ReadonlyMap<string, TeamQuota> = new Map()
 
   const current = () => {
     const held = table.current()
-    if (!held || held.version === readVersion) return known
-    readVersion = held.version
+    if (!held || held.version === decodedVersion) return decoded
+    decodedVersion = held.version
     try {
-      known = decodeTable(held.document)
-      groups = new Set(known.groups.map(({ name }) => name))
-      quotas = listQuotas(known)
+      decoded = decodeTable(held.document)
+      groups = new Set(decoded.groups.map(({ name }) => name))
+      quotas = listQuotas(decoded)
     } catch (cause) {
       // Only a table of a newer version of this program comes here; the one before stays known.
       logger.error('table.unreadable', { version: held.version, reason: String(cause) })
     }
-    return known
+    return decoded
   }
   return {
     current,
--- a/packages/control/src/registry/feedClient.ts
+++ b/packages/control/src/registry/feedClient.ts
@@ -58,7 +58,7 @@
   /** Called with a request in quarantine that this router may send once. */
   readonly onTrial: (request: RequestFingerprint) => void
   /** Called with what engines and stores say that they keep. */
-  readonly onKept: (placements: readonly CachedPlacement[]) => void
+  readonly onCacheChanges: (placements: readonly CachedPlacement[]) => void
 }
 
 /** Limits that this router observed, until the leader has acknowledged them. */
@@ -95,15 +95,15 @@
 }
 
 /** Wait that a poll asks for, in ms: the age of what routers know of each other's calls. */
-const WAIT_MS = 100
+const MIN_WAIT_MS = 100
 /** Wait added for each router, in ms: it bounds the polls that the leader answers. */
 const WAIT_PER_ROUTER_MS = 2
 /** Silence beyond the wait after which other instances are asked as well, in ms. */
-const ANSWER_MS = 500
+const ANSWER_TIMEOUT_MS = 500
 /** Pause after an answer that cannot be read, in ms: the next will most likely be like it. */
 const UNREADABLE_PAUSE_MS = 500
 /** Placements that are kept until a leader has taken them; more than one poll brings. */
-const MAX_UNREPORTED = 200
+const MAX_UNREPORTED_PLACEMENTS = 200
 
 /** A reply with the facts of its ask. */
 interface FeedAnswer {
@@ -131,24 +131,26 @@
   const { client, timers, logger } = options
   const stopping = new AbortController()
   const changes = new Subject<FleetView>()
-  const held = createFleetReplica(options)
-  let unreported: readonly Placement[] = []
+  const replica = createFleetReplica(options)
+  let unreportedPlacements: readonly Placement[] = []
   let provenAt = -Infinity
   /** What proves the version that the router is fetching, once it holds that. */
-  let comingProof: TableProof | undefined
+  let pendingProof: TableProof | undefined
   /** Instance that answered last. */
   let leader: string | undefined
 
   /** Wait that a poll asks for; what is kept comes in pieces, one right after the other. */
   const findWaitMs = (url: string) => {
-    if (url !== leader || held.position().keptPosition.left > 0) return 0
-    return Math.max(WAIT_MS, held.countRouters() * WAIT_PER_ROUTER_MS)
+    if (url !== leader || replica.position().keptPosition.left > 0) return 0
+    return Math.max(MIN_WAIT_MS, replica.countRouters() * WAIT_PER_ROUTER_MS)
   }
-  const askInstance = async (url: string, signal: AbortSignal): Promise<FeedAnswer> => {
+  const pollInstance = async (url: string, signal: AbortSignal): Promise<FeedAnswer> => {
     const askedAt = timers.promiseNow()
-    unreported = [...unreported, ...options.takePlacements()].slice(-MAX_UNREPORTED)
-    const placements = unreported
-    const position = held.position()
+    unreportedPlacements = [...unreportedPlacements, ...options.takePlacements()].slice(
+      -MAX_UNREPORTED_PLACEMENTS,
+    )
+    const placements = unreportedPlacements
+    const position = replica.position()
     const blame = options.blame.listUnreported(position.term)
     const limits = options.limits.listUnreported(position.term)
     const sentAt = timers.now()
@@ -170,68 +172,68 @@
     })
     return { reply, askedAt, sentAt, reported: new Set(placements), blame, limits }
   }
-  const announce = () => {
-    const view = held.view()
+  const emitView = () => {
+    const view = replica.view()
     if (view) changes.next(view)
   }
   const recordProof = (proof: TableProof) => {
-    if (held.position().tableVersion < proof.version) {
-      comingProof = proof
+    if (replica.position().tableVersion < proof.version) {
+      pendingProof = proof
       return
     }
     // An ask that was silent for a while may be answered after a younger one.
     provenAt = Math.max(provenAt, proof.askedAt)
   }
-  const listInstances = () => [...new Set([...held.listControl(), ...options.seeds()])]
+  const listInstances = () => [...new Set([...replica.listControl(), ...options.seeds()])]
   const tables = createTableFetcher({
     listInstances,
     client,
     timers,
     random: options.random,
     logger,
-    heldVersion: () => held.position().tableVersion,
+    heldVersion: () => replica.position().tableVersion,
     onUpdate: (update) => {
-      if (!held.applyTable(update)) return false
-      if (comingProof) recordProof(comingProof)
-      announce()
+      if (!replica.applyTable(update)) return false
+      if (pendingProof) recordProof(pendingProof)
+      emitView()
       return true
     },
     stopping: stopping.signal,
   })
   const applyAnswer = ({ reply, askedAt, sentAt, reported, blame, limits }: FeedAnswer) => {
-    const isChanged = held.apply(reply)
+    const isChanged = replica.apply(reply)
     options.onPlacements(reply.placements)
-    options.onKept(reply.kept)
+    options.onCacheChanges(reply.kept)
     options.blame.recordReported(blame, reply.term)
     if (limits.term === reply.term) options.limits.recordAcknowledged(limits)
     if (reply.limits) options.limits.applyUpdate(reply.limits, sentAt)
     if (reply.quotas) options.quotas.applyGrants(reply.quotas, askedAt)
     if (reply.suspects) options.onSuspects(reply.suspects)
     if (reply.trial !== undefined) options.onTrial(reply.trial)
-    unreported = unreported.filter((placement) => !reported.has(placement))
+    unreportedPlacements = unreportedPlacements.filter((placement) => !reported.has(placement))
     recordProof({ version: reply.tableVersion, askedAt })
-    tables.want(reply.tableVersion)
-    if (isChanged) announce()
+    tables.requestVersion(reply.tableVersion)
+    if (isChanged) emitView()
   }
   const search = createInstanceSearch({
     listInstances,
-    ask: askInstance,
+    ask: pollInstance,
     timers,
     random: options.random,
     logger,
     searchEvent: 'control.searching',
     listState: () => ({
-      tableVersion: held.view()?.index.table.version,
+      tableVersion: replica.view()?.index.table.version,
       proofAgeMs: Math.round(timers.promiseNow() - provenAt),
-      term: held.position().term,
+      term: replica.position().term,
     }),
     stopping: stopping.signal,
   })
   const pollLeader = async (url: string) => {
-    const answered = await search.askFirst(url, findWaitMs(url) + ANSWER_MS)
+    const answered = await search.askFirst(url, findWaitMs(url) + ANSWER_TIMEOUT_MS)
     if (answered || stopping.signal.aborted) return answered
     const proofAgeMs = Math.round(timers.promiseNow() - provenAt)
-    logger.warn('control.lost', { url, term: held.position().term, proofAgeMs })
+    logger.warn('control.lost', { url, term: replica.position().term, proofAgeMs })
     leader = undefined
     return undefined
   }
@@ -242,7 +244,7 @@
     applyAnswer(found.answer)
     if (leader === found.url) return
     leader = found.url
-    logger.info('control.regained', { url: leader, term: held.position().term })
+    logger.info('control.regained', { url: leader, term: replica.position().term })
   }
   const run = async () => {
     while (!stopping.signal.aborted) {
@@ -258,7 +260,7 @@
   }
   const running = run()
   return {
-    current: held.view,
+    current: replica.view,
     // What is held may have been replaced while this machine was suspended.
     proofAgeMs: () => timers.promiseNow() - provenAt,
     leaderUrl: () => leader,
--- a/packages/control/src/registry/feedSource.ts
+++ b/packages/control/src/registry/feedSource.ts
@@ -44,9 +44,9 @@
   /** Limits of teams. */
   readonly quotas: QuotaBuckets
   /** What engines and stores keep, for routers that do not know it yet. */
-  readonly kept: Pick<CacheDirectory, 'takePiece'>
+  readonly cacheDirectory: Pick<CacheDirectory, 'takePiece'>
   /** Waits until what engines and stores keep is known, for a little while. */
-  readonly waitForKept: () => Promise<void>
+  readonly waitForCacheDirectory: () => Promise<void>
   /** Emits when the instance stops: waiting polls are answered at once. */
   readonly stopping: Observable<unknown>
   /**
@@ -74,33 +74,33 @@
    */
   listQuotas(): readonly QuotaStatus[]
   /** Notes what engines and stores keep now, for all routers. */
-  addKept(placements: readonly CachedPlacement[]): void
+  addCacheChanges(placements: readonly CachedPlacement[]): void
   /** Sums up what all routers have in progress. */
   sumLoads(): ServerLoads
 }
 
 /** Time after which a router that does not ask is no longer counted, in ms; six polls. */
-const ROUTER_LIFE_MS = 3_000
+const ROUTER_EXPIRY_MS = 3_000
 /** Longest wait that a router may ask for, in ms. */
 const MAX_WAIT_MS = 1_000
 /**
  * Time for which a poll is held while no leader is known, in ms: it bounds the polls, and is below the silence after
  * which a router asks another instance as well.
  */
-const HOLD_MS = 250
+const MAX_LEADER_WAIT_MS = 250
 /** Time between two looks whether a leader is known, while somebody waits for it, in ms. */
-const LEADER_LOOK_MS = 25
+const LEADER_CHECK_PERIOD_MS = 25
 /** Entries in one piece of the list of all cached prefixes: at 20 bytes each, as much as a routing table. */
-const MAX_KEPT_PARTS_PER_REPLY = 1_000
+const MAX_CACHE_ENTRIES_PER_REPLY = 1_000
 /**
  * Largest update of the table that an answer carries, in bytes: the whole table of the users' sites at their
  * start takes 6 KB, and 70 of this size take a link of 100 Mbit/s for 0.09 s.
  */
 const MAX_TABLE_BYTES = 16 * 1024
 /** Position of a router that knows nothing of what is kept. */
-const WHOLE_LIST: CacheListCursor = { after: '', left: Number.MAX_SAFE_INTEGER }
+const FULL_LIST: CacheListCursor = { after: '', left: Number.MAX_SAFE_INTEGER }
 /** Sender of what comes from no router. */
-const NOBODY = 'nobody'
+const NO_ROUTER = 'nobody'
 
 function isSameWeights(
   a: Readonly<Record<string, number>>,
@@ -113,16 +113,16 @@
 /** Creates the source. */
 export function createFeedSource(options: FeedSourceOptions): FeedSource {
   const { member, machine, timers, blame } = options
-  const loads = createLoadSum({ timers, routerLifeMs: ROUTER_LIFE_MS })
+  const loads = createLoadSum({ timers, routerLifeMs: ROUTER_EXPIRY_MS })
   const limits = createLimitParts({
     timers,
     listRouters: loads.listBusyRouters,
     isRegistered: (server) => machine.servers.find(server as BackendServerId) !== undefined,
   })
   const placements = createPlacementLog()
-  const changesOfKept = createPlacementLog()
+  const cacheChanges = createPlacementLog()
   const turns = options.turns ?? createTurnQueue()
-  let countedTerm: number | undefined
+  let currentTerm: number | undefined
   /** Counts the changes of all that {@link FeedReply} reports by revision. */
   let revision = 0
   const serverChanges = createServerChanges(machine.servers.list)
@@ -151,33 +151,35 @@
     const { role, leader } = member.status()
     return role === 'leader' ? member.isCurrent() : leader !== undefined
   }
-  const leaderKnown = timers.every(LEADER_LOOK_MS).pipe(filter(isLeaderKnown), share())
+  const leaderKnown = timers.every(LEADER_CHECK_PERIOD_MS).pipe(filter(isLeaderKnown), share())
   const waitUntil = async (news: Observable<unknown>, waitMs: number, response: ServerResponse) => {
     const isOver = race(news, timers.after(waitMs), fromEvent(response, 'close'), options.stopping)
     await firstValueFrom(isOver, { defaultValue: undefined })
   }
 
   /** A router that polled another leader last has none of this one's numbers. */
-  const isOfTerm = (request: FeedRequest) => request.term === member.status().term
-  const findKeptPosition = (request: FeedRequest): CacheListCursor => {
-    if (!isOfTerm(request)) return WHOLE_LIST
-    const isTooMuch = changesOfKept.last() - request.keptSeen > MAX_PLACEMENTS_PER_REPLY
+  const isCurrentTerm = (request: FeedRequest) => request.term === member.status().term
+  const findCacheCursor = (request: FeedRequest): CacheListCursor => {
+    if (!isCurrentTerm(request)) return FULL_LIST
+    const isTooFarBehind = cacheChanges.last() - request.keptSeen > MAX_PLACEMENTS_PER_REPLY
     // The list goes on where it stood, once around, so that no piece is sent in vain.
-    return isTooMuch ? { ...WHOLE_LIST, after: request.keptPosition.after } : request.keptPosition
+    return isTooFarBehind
+      ? { ...FULL_LIST, after: request.keptPosition.after }
+      : request.keptPosition
   }
-  const listKeptChanges = (request: FeedRequest) =>
-    isOfTerm(request) ? changesOfKept.listSince(NOBODY, request.keptSeen) : []
-  const beginTerm = () => {
+  const listCacheChanges = (request: FeedRequest) =>
+    isCurrentTerm(request) ? cacheChanges.listSince(NO_ROUTER, request.keptSeen) : []
+  const startTerm = () => {
     const { term } = member.status()
-    if (term === countedTerm) return
+    if (term === currentTerm) return
     placements.reset()
     limits.reset()
     options.quotas.reset(term)
-    countedTerm = term
+    currentTerm = term
   }
   /** Records what a router reports; returns the request that it may try. */
   const recordRouter = (request: FeedRequest) => {
-    beginTerm()
+    startTerm()
     placements.add(request.router, request.placements)
     loads.record(request.router, request.loads)
     limits.record(request.limits ?? [])
@@ -193,12 +195,12 @@
     return update && measureUpdate(update) <= MAX_TABLE_BYTES ? update : undefined
   }
   const isNewSuspects = (request: FeedRequest) =>
-    !isOfTerm(request) ||
+    !isCurrentTerm(request) ||
     (request.suspectsSeen !== undefined && request.suspectsSeen !== blame.revision())
   const isNewLimits = (request: FeedRequest) =>
-    !isOfTerm(request) ||
+    !isCurrentTerm(request) ||
     (request.limitsSeen !== undefined && request.limitsSeen !== limits.revision())
-  const isNews = (request: FeedRequest) => {
+  const isUpdateDue = (request: FeedRequest) => {
     if (isNewTable(request) || isNewSuspects(request) || isNewLimits(request)) return true
     return request.revision !== revision
   }
@@ -206,10 +208,13 @@
    * Whether the answer holds all servers or a piece of what is kept. Such answers take turns, so that a router without
    * a table does not wait for the lists of those that asked later; small ones do not need to.
    */
-  const isLarge = (request: FeedRequest) => !isOfTerm(request) || request.keptPosition.left > 0
+  const isLarge = (request: FeedRequest) => !isCurrentTerm(request) || request.keptPosition.left > 0
   const buildReply = (request: FeedRequest): FeedReply => {
     const { term, members } = member.status()
-    const piece = options.kept.takePiece(findKeptPosition(request), MAX_KEPT_PARTS_PER_REPLY)
+    const page = options.cacheDirectory.readPage(
+      findCacheCursor(request),
+      MAX_CACHE_ENTRIES_PER_REPLY,
+    )
     const common = {
       term,
       revision,
@@ -219,34 +224,34 @@
       loads: loads.sumOthers(request.router),
       placements: placements.listSince(
         request.router,
-        isOfTerm(request) ? request.placementsSeen : 0,
+        isCurrentTerm(request) ? request.placementsSeen : 0,
       ),
       placementsSeen: placements.last(),
-      kept: [...listKeptChanges(request), ...piece.placements],
-      keptSeen: changesOfKept.last(),
-      keptPosition: piece.position,
+      kept: [...listCacheChanges(request), ...page.placements],
+      keptSeen: cacheChanges.last(),
+      keptPosition: page.position,
       limits: isNewLimits(request) ? limits.buildUpdate(request.router) : undefined,
       limitsSeen: limits.revision(),
       suspects: isNewSuspects(request) ? blame.list() : undefined,
       suspectsSeen: blame.revision(),
       quotas: request.quotas && options.quotas.listGrants(request.quotas),
     }
-    if (isOfTerm(request) && request.revision === revision) return common
+    if (isCurrentTerm(request) && request.revision === revision) return common
     return {
       ...common,
       weights: machine.weights.list(),
-      servers: serverChanges.listSince(isOfTerm(request) ? request.revision : undefined),
+      servers: serverChanges.listSince(isCurrentTerm(request) ? request.revision : undefined),
       conditions: options.findConditions(),
       control: Object.values(members).map(({ url }) => url),
     }
   }
   return {
     answer: async (request, response) => {
-      if (!isLeaderKnown()) await waitUntil(leaderKnown, HOLD_MS, response)
+      if (!isLeaderKnown()) await waitUntil(leaderKnown, MAX_LEADER_WAIT_MS, response)
       checkLeading()
       const trial = recordRouter(request)
-      if (!isOfTerm(request)) await options.waitForKept()
-      if (!isNews(request) && trial === undefined) {
+      if (!isCurrentTerm(request)) await options.waitForCacheDirectory()
+      if (!isUpdateDue(request) && trial === undefined) {
         await waitUntil(changes, Math.min(request.waitMs, MAX_WAIT_MS), response)
       }
       if (isLarge(request)) await turns.take()
@@ -255,14 +260,14 @@
     },
     grantQuotas: (report) => {
       checkLeading()
-      beginTerm()
+      startTerm()
       return options.quotas.settle(report)
     },
     listQuotas: () => {
       checkLeading()
       return options.quotas.list()
     },
-    addKept: (placed) => changesOfKept.add(NOBODY, placed),
+    addCacheChanges: (placed) => cacheChanges.add(NO_ROUTER, placed),
     sumLoads: () => loads.sumOthers(undefined),
   }
 }
--- a/packages/control/src/registry/fleetReplica.ts
+++ b/packages/control/src/registry/fleetReplica.ts
@@ -87,7 +87,7 @@
 }
 
 const NO_VERSION = -1
-const NOTHING_KEPT: CacheListCursor = { after: '', left: 0 }
+const EMPTY_LIST: CacheListCursor = { after: '', left: 0 }
 
 type ConditionSets = Pick<FleetView, 'loading' | 'expired' | 'silent' | 'stores'>
 
@@ -113,7 +113,7 @@
   logger,
   decodeTable,
 }: FleetReplicaOptions): FleetReplica {
-  let held: HeldTable | undefined
+  let heldTable: HeldTable | undefined
   let index: TableIndex | undefined
   let weights: Readonly<Record<string, number>> = {}
   let weightsSince: Readonly<Record<string, number>> = {}
@@ -130,16 +130,16 @@
     revision: NO_VERSION,
     placementsSeen: 0,
     keptSeen: 0,
-    keptPosition: NOTHING_KEPT,
+    keptPosition: EMPTY_LIST,
   }
 
   const installTable = (update: TableUpdate) => {
-    if (held && update.version <= held.version) return false
+    if (heldTable && update.version <= heldTable.version) return false
     const startedAt = timers.now()
-    const next = applyTableUpdate(held, update)
+    const next = applyTableUpdate(heldTable, update)
     if (!next) return false
     index = buildTableIndex(decodeTable(next.document))
-    held = next
+    heldTable = next
     logger.info('table.inForce', {
       version: next.version,
       routes: index.table.routes.length,
@@ -191,7 +191,7 @@
       const { term, revision, placementsSeen, keptSeen, keptPosition, suspectsSeen, limitsSeen } =
         reply
       position = {
-        tableVersion: held?.version ?? NO_TABLE_VERSION,
+        tableVersion: heldTable?.version ?? NO_TABLE_VERSION,
         tableReported: Math.max(position.tableReported, reply.tableVersion),
         term,
         revision: isServersKnown ? revision : NO_VERSION,
--- a/packages/control/src/registry/registryControl.ts
+++ b/packages/control/src/registry/registryControl.ts
@@ -213,11 +213,11 @@
   const caches = createCacheWatch({
     member,
     machine,
-    calls: options.cacheCalls,
+    client: options.cacheCalls,
     table,
     timers,
     logger,
-    onKept: (placements) => feed.addKept(placements),
+    onCacheChanges: (placements) => feed.addCacheChanges(placements),
   })
   const tables = createTableHistory({
     current: machine.table.current,
@@ -247,11 +247,11 @@
       loading: rollout.listLoading(),
       expired: watch.listExpired(),
       silent: watch.listSilent(),
-      stores: caches.listLives(),
+      stores: caches.listReachableStores(),
     }),
     conditionChanges: merge(rollout.loadingChanges, watch.changes, caches.changes),
-    kept: caches.kept,
-    waitForKept: caches.waitForFirstAnswers,
+    cacheDirectory: caches.directory,
+    waitForCacheDirectory: caches.waitForFirstAnswers,
     stopping,
   })
   const findUnreadyReason = () =>
--- a/packages/control/src/registry/tableFetcher.ts
+++ b/packages/control/src/registry/tableFetcher.ts
@@ -32,7 +32,7 @@
 /** The task; see {@link createTableFetcher}. */
 export interface TableFetcher {
   /** Notes that there is a version; it is fetched unless the router holds it or a newer one. */
-  want(version: number): void
+  requestVersion(version: number): void
   /** Resolves once nothing is fetched any more. */
   close(): Promise<void>
 }
@@ -45,10 +45,10 @@
   const { client, timers, logger, heldVersion, stopping } = options
   let wantedVersion = NO_TABLE_VERSION
   /** Set once an update did not fit, until one did. */
-  let isWholeWanted = false
+  let isFullTableNeeded = false
   let running: Promise<void> | undefined
 
-  const findBase = () => (isWholeWanted ? NO_TABLE_VERSION : heldVersion())
+  const findBase = () => (isFullTableNeeded ? NO_TABLE_VERSION : heldVersion())
   const search = createInstanceSearch({
     listInstances: options.listInstances,
     ask: (url, signal) =>
@@ -71,10 +71,10 @@
     const isOutdated = update.version <= held || (update.base !== null && update.base !== held)
     if (isOutdated) return
     if (options.onUpdate(update)) {
-      isWholeWanted = false
+      isFullTableNeeded = false
       return
     }
-    isWholeWanted = true
+    isFullTableNeeded = true
     logger.error('table.unfit', { url, held, base: update.base, version: update.version })
     await waitFor(timers, UNUSABLE_PAUSE_MS, stopping)
   }
@@ -96,7 +96,7 @@
     running = undefined
   }
   return {
-    want: (version) => {
+    requestVersion: (version) => {
       wantedVersion = Math.max(wantedVersion, version)
       if (isBehind()) running ??= run()
     },
--- a/packages/control/src/registry/tableSource.ts
+++ b/packages/control/src/registry/tableSource.ts
@@ -40,7 +40,7 @@
  * Wait for a version that is accepted and not yet here, in ms: a member learns with the next heartbeat, after
  * 100 ms at most, what is committed. Below the silence after which a router asks another instance as well.
  */
-const HOLD_MS = 250
+const MAX_WAIT_MS = 250
 
 /** Creates the source. */
 export function createTableSource(options: TableSourceOptions): TableSource {
@@ -48,7 +48,7 @@
   const isHeld = (version: number) => (table.current()?.version ?? NO_TABLE_VERSION) >= version
   const waitUntilHeld = async (version: number, response: ServerResponse) => {
     const held = changes.pipe(filter(() => isHeld(version)))
-    const isOver = race(held, timers.after(HOLD_MS), fromEvent(response, 'close'), stopping)
+    const isOver = race(held, timers.after(MAX_WAIT_MS), fromEvent(response, 'close'), stopping)
     await firstValueFrom(isOver.pipe(map(() => undefined)), { defaultValue: undefined })
   }
   return {
--- a/packages/control/src/registry/tableWriter.ts
+++ b/packages/control/src/registry/tableWriter.ts
@@ -25,7 +25,7 @@
 
 /** Creates the queue. */
 export function createTableWriter({ member, table, logger }: TableWriterOptions): TableWriter {
-  let last: Promise<unknown> = Promise.resolve()
+  let queueTail: Promise<unknown> = Promise.resolve()
 
   const propose = async (before: HeldTable | undefined, next: HeldTable) => {
     const update = buildTableUpdate(before, next)
@@ -50,8 +50,8 @@
   }
   return {
     put: (next) => {
-      const put = last.then(() => putNow(next))
-      last = put.catch(() => {
+      const put = queueTail.then(() => putNow(next))
+      queueTail = put.catch(() => {
         // Reported to whoever sent it; the next change does not depend on it.
       })
       return put
--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -217,7 +217,7 @@
     onPlacements: (placements) => {
       for (const placement of placements) memory.record(placement)
     },
-    onKept: (placements) => {
+    onCacheChanges: (placements) => {
       for (const placement of placements) memory.confirm(placement)
     },
   })
