--- a/packages/control/src/__tests__/feedHerd.ts
+++ b/packages/control/src/__tests__/feedHerd.ts
@@ -18,8 +18,8 @@
 import type { ServerResponse } from 'node:http'
 import { NEVER } from 'rxjs'
 import { TABLE_PATH, type FeedRequest } from '../registry/feed.js'
-import { createBlameRecord } from '../blame/blameRecord.js'
-import { createBlameSource } from '../blame/blameSource.js'
+import { createCrashReportBuffer } from '../blame/blameRecord.js'
+import { createQuarantineCoordinator } from '../blame/blameSource.js'
 import { createFeedFollower, type FeedFollower } from '../registry/feedFollower.js'
 import { createFeedSource, type FeedSource } from '../registry/feedSource.js'
 import { createTableSource, type TableRequest } from '../registry/tableSource.js'
@@ -225,7 +225,7 @@
   const createSource = (url: string, place: Place): FeedSource =>
     createFeedSource({
       member: createMember(url),
-      blame: createBlameSource({
+      blame: createQuarantineCoordinator({
         member: createMember(url),
         quarantine: machine.quarantine,
         timers,
@@ -330,7 +330,7 @@
       listLoads: () => ({}),
       takePlacements: () => [],
       onPlacements: () => {},
-      blame: createBlameRecord(timers),
+      blame: createCrashReportBuffer(timers),
       onSuspects: () => {},
       onTrial: () => {},
       limits: NO_LIMITS,
--- a/packages/control/src/__tests__/feedSource.spec.ts
+++ b/packages/control/src/__tests__/feedSource.spec.ts
@@ -3,7 +3,7 @@
 import { EventEmitter } from 'node:events'
 import type { ServerResponse } from 'node:http'
 import { NEVER } from 'rxjs'
-import { createBlameSource } from '../blame/blameSource.js'
+import { createQuarantineCoordinator } from '../blame/blameSource.js'
 import type { FeedRequest } from '../registry/feed.js'
 import { createFeedSource } from '../registry/feedSource.js'
 import type { RaftMember } from '../raft/types.js'
@@ -35,7 +35,7 @@
     machine,
     timers,
     quotas: createNoQuotas(timers),
-    blame: createBlameSource({ member, quarantine, timers, logger: createQuietLogger() }),
+    blame: createQuarantineCoordinator({ member, quarantine, timers, logger: createQuietLogger() }),
     tables: { findUpdate: () => undefined },
     findConditions: () => ({ loading: [], expired: [], silent: [], stores: [] }),
     conditionChanges: NEVER,
--- a/packages/control/src/__tests__/requestBlame.spec.ts
+++ b/packages/control/src/__tests__/requestBlame.spec.ts
@@ -7,16 +7,16 @@
 } from '@spoolgate/core'
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { createBlameRecord } from '../blame/blameRecord.js'
-import { createBlameSource } from '../blame/blameSource.js'
-import { findHoldMs, type BlameReport } from '../blame/requestBlame.js'
+import { createCrashReportBuffer } from '../blame/blameRecord.js'
+import { createQuarantineCoordinator } from '../blame/blameSource.js'
+import { findQuarantineMs, type CrashReport } from '../blame/requestBlame.js'
 import { createControlMachine } from '../state/controlMachine.js'
 import { createQuarantineState } from '../state/quarantineState.js'
 
 const R = toRequestFingerprint('caller.request')
 const server = (name: string) => toBackendServerId(name)
 
-function buildReport(change: Partial<BlameReport>): BlameReport {
+function buildReport(change: Partial<CrashReport>): CrashReport {
   return { ended: [], answered: [], asked: [], untried: [], ...change }
 }
 const report = (...servers: string[]) =>
@@ -42,9 +42,14 @@
     },
   }
   const { quarantine } = machine
-  const source = createBlameSource({ member, quarantine, timers, logger: createQuietLogger() })
+  const source = createQuarantineCoordinator({
+    member,
+    quarantine,
+    timers,
+    logger: createQuietLogger(),
+  })
   const settle = () => new Promise((resolve) => setImmediate(resolve))
-  const record = async (reported: BlameReport) => {
+  const record = async (reported: CrashReport) => {
     const trial = source.record(reported)
     await settle()
     return trial
@@ -115,7 +120,7 @@
     const asked = buildReport({ asked: [R] })
     for (let round = 1; round <= 4; round += 1) {
       expect(await record(asked)).to.equal(undefined)
-      timers.advance(findHoldMs(round) - 1)
+      timers.advance(findQuarantineMs(round) - 1)
       expect(await record(asked), `round ${round}`).to.equal(undefined)
       timers.advance(1)
       expect(await record(asked), `round ${round}`).to.equal(R)
@@ -134,7 +139,7 @@
     await record(buildReport({ ended }))
     const asked = buildReport({ asked: [R, other] })
     await record(asked)
-    timers.advance(findHoldMs(1))
+    timers.advance(findQuarantineMs(1))
     expect(await record(asked)).to.equal(R)
     expect(await record(asked)).to.equal(undefined)
     await record(buildReport({ answered: [R] }))
@@ -145,7 +150,7 @@
     const { record, timers } = createLeader()
     await record(report('a', 'b', 'c'))
     await record(buildReport({ asked: [R] }))
-    timers.advance(findHoldMs(1))
+    timers.advance(findQuarantineMs(1))
     expect(await record(buildReport({ asked: [R] }))).to.equal(R)
     timers.advance(5_000)
     expect(await record(buildReport({ asked: [R] }))).to.equal(undefined)
@@ -205,7 +210,7 @@
 describe('what a router knows of requests under which servers ended', () => {
   const create = () => {
     const timers = createManualTimerService()
-    return { timers, record: createBlameRecord(timers) }
+    return { timers, record: createCrashReportBuffer(timers) }
   }
   const send = { request: R, round: 0 }
 
--- a/packages/control/src/__tests__/tableProof.spec.ts
+++ b/packages/control/src/__tests__/tableProof.spec.ts
@@ -7,7 +7,7 @@
 import type { RoutingTable } from '@spoolgate/routing'
 import { expect } from 'chai'
 import { TABLE_PATH, type FeedReply, type FeedRequest } from '../registry/feed.js'
-import { createBlameRecord } from '../blame/blameRecord.js'
+import { createCrashReportBuffer } from '../blame/blameRecord.js'
 import { createFeedFollower } from '../registry/feedFollower.js'
 import { buildTableUpdate } from '../table/tableUpdate.js'
 import { NO_LIMITS, NO_QUOTAS } from './idleRecords.js'
@@ -53,7 +53,7 @@
     listLoads: () => ({}),
     takePlacements: () => [],
     onPlacements: () => {},
-    blame: createBlameRecord(timers),
+    blame: createCrashReportBuffer(timers),
     onSuspects: () => {},
     onTrial: () => {},
     limits: NO_LIMITS,
--- a/packages/control/src/blame/blameRecord.ts
+++ b/packages/control/src/blame/blameRecord.ts
@@ -3,17 +3,17 @@
  * is new receives all of it again.
  */
 import type { BackendServerId, RequestFingerprint, TimerService } from '@spoolgate/core'
-import type { BlamedSend, BlameReport, ExitedServer } from './requestBlame.js'
+import type { InterruptedSend, CrashReport, CrashedServer } from './requestBlame.js'
 
 /** A report with what it was built from. */
-export interface UnreportedBlame {
-  readonly report: BlameReport
-  readonly facts: readonly BlameFact[]
+export interface UnreportedOutcomes {
+  readonly report: CrashReport
+  readonly facts: readonly RequestOutcome[]
 }
 
-/** See {@link createBlameRecord}. */
-export interface BlameRecord {
-  addEnd(server: BackendServerId, send: BlamedSend): void
+/** See {@link createCrashReportBuffer}. */
+export interface CrashReportBuffer {
+  addEnd(server: BackendServerId, send: InterruptedSend): void
   /** Notes that a suspected request was answered; what speaks against it is forgotten. */
   addAnswered(request: RequestFingerprint): void
   /** Notes that a request in quarantine was refused. */
@@ -25,12 +25,12 @@
   /** Counts the servers that ended under a request, as far as they were not reported to a leader yet. */
   countUnreportedExits(request: RequestFingerprint): number
   /** Lists what was not reported to the leader of a term. */
-  listUnreported(term: number): UnreportedBlame
+  listUnreported(term: number): UnreportedOutcomes
   /** Records that it was reported to the leader of a term. */
-  recordReported(unreported: UnreportedBlame, term: number): void
+  recordReported(unreported: UnreportedOutcomes, term: number): void
 }
 
-interface FactBase {
+interface OutcomeBase {
   readonly request: RequestFingerprint
   readonly at: number
   /** Term whose leader has the report; undefined before. */
@@ -38,40 +38,40 @@
 }
 
 /** One thing that a router knows. */
-export type BlameFact =
-  | (FactBase & {
+export type RequestOutcome =
+  | (OutcomeBase & {
       readonly kind: 'ended'
       readonly server: BackendServerId
-      readonly send: BlamedSend
+      readonly send: InterruptedSend
     })
-  | (FactBase & { readonly kind: 'answered' })
+  | (OutcomeBase & { readonly kind: 'answered' })
 
 /** Time for which it is reported to a new leader again, in ms: an election takes a second, a majority that is away some more. */
-const KEEP_MS = 60_000
+const RETENTION_MS = 60_000
 /** Facts that are kept, the newest: a router of the users has 75 requests in flight when all engines end at once. */
-const MAX_FACTS = 1_000
+const MAX_OUTCOMES = 1_000
 
 /** Rejected requests in one report: as many as a caller may have in quarantine. */
-const MAX_ASKED = 64
+const MAX_REFUSED = 64
 
-const NO_FACTS: UnreportedBlame = {
+const NOTHING_UNREPORTED: UnreportedOutcomes = {
   report: { ended: [], answered: [], asked: [], untried: [] },
   facts: [],
 }
 
 function buildReport(
-  facts: readonly BlameFact[],
+  facts: readonly RequestOutcome[],
   asked: ReadonlyMap<RequestFingerprint, number>,
   untried: ReadonlySet<RequestFingerprint>,
-): BlameReport {
-  const ended = new Map<BackendServerId, BlamedSend[]>()
+): CrashReport {
+  const ended = new Map<BackendServerId, InterruptedSend[]>()
   for (const fact of facts) {
     if (fact.kind !== 'ended') continue
     ended.set(fact.server, [...(ended.get(fact.server) ?? []), fact.send])
   }
   const answered = facts.filter(({ kind }) => kind === 'answered').map(({ request }) => request)
   return {
-    ended: [...ended].map(([server, sends]): ExitedServer => ({ server, sends })),
+    ended: [...ended].map(([server, sends]): CrashedServer => ({ server, sends })),
     answered,
     untried: [...untried],
     asked: [...asked].sort(([, a], [, b]) => b - a).map(([request]) => request),
@@ -79,21 +79,21 @@
 }
 
 /** Creates an empty record. */
-export function createBlameRecord(timers: TimerService): BlameRecord {
-  let facts: readonly BlameFact[] = []
+export function createCrashReportBuffer(timers: TimerService): CrashReportBuffer {
+  let facts: readonly RequestOutcome[] = []
   /** Requests that were refused since the last report, with how often. */
   const asked = new Map<RequestFingerprint, number>()
   const untried = new Set<RequestFingerprint>()
 
-  const add = (fact: BlameFact) => {
-    facts = [...facts, fact].slice(-MAX_FACTS)
+  const add = (fact: RequestOutcome) => {
+    facts = [...facts, fact].slice(-MAX_OUTCOMES)
   }
   const removeEnds = (request: RequestFingerprint) => {
     if (facts.length === 0) return
     facts = facts.filter((fact) => fact.kind !== 'ended' || fact.request !== request)
   }
   const removeOld = () => {
-    const oldest = timers.now() - KEEP_MS
+    const oldest = timers.now() - RETENTION_MS
     if (facts.some(({ at }) => at <= oldest)) facts = facts.filter(({ at }) => at > oldest)
   }
   const build = (request: RequestFingerprint) => ({
@@ -109,7 +109,7 @@
     },
     addAsked: (request) => {
       const count = asked.get(request) ?? 0
-      if (count > 0 || asked.size < MAX_ASKED) asked.set(request, count + 1)
+      if (count > 0 || asked.size < MAX_REFUSED) asked.set(request, count + 1)
     },
     removeEnds,
     addUntried: (request) => void untried.add(request),
@@ -122,7 +122,7 @@
       return servers.size
     },
     listUnreported: (term) => {
-      if (facts.length + asked.size + untried.size === 0) return NO_FACTS
+      if (facts.length + asked.size + untried.size === 0) return NOTHING_UNREPORTED
       removeOld()
       const unreported = facts.filter(({ reportedTerm }) => reportedTerm !== term)
       const report = buildReport(unreported, asked, untried)
--- a/packages/control/src/blame/blameSource.ts
+++ b/packages/control/src/blame/blameSource.ts
@@ -11,30 +11,30 @@
   QuarantineState,
   ReleaseRequest,
 } from '../state/quarantineState.js'
-import { createBlameTally } from './blameTally.js'
-import { createBlameTrials } from './blameTrials.js'
+import { createCrashTally } from './blameTally.js'
+import { createTrialScheduler } from './blameTrials.js'
 import {
-  ENDS_TO_QUARANTINE,
-  findHoldMs,
-  type BlamedSend,
-  type BlameReport,
+  CRASHES_TO_QUARANTINE,
+  findQuarantineMs,
+  type InterruptedSend,
+  type CrashReport,
   type SuspectedRequest,
 } from './requestBlame.js'
 
-/** Options of {@link createBlameSource}. */
-export interface BlameSourceOptions {
+/** Options of {@link createQuarantineCoordinator}. */
+export interface QuarantineCoordinatorOptions {
   readonly member: Pick<RaftMember, 'status' | 'propose'>
   readonly quarantine: Pick<QuarantineState, 'find' | 'list' | 'revision'>
   readonly timers: TimerService
   readonly logger: Logger
 }
 
-/** See {@link createBlameSource}. */
-export interface BlameSource {
+/** See {@link createQuarantineCoordinator}. */
+export interface QuarantineCoordinator {
   /**
    * Takes what a router reports, and says which request in quarantine it may send once; for the leader only.
    */
-  record(report: BlameReport): RequestFingerprint | undefined
+  record(report: CrashReport): RequestFingerprint | undefined
   /** Lists what routers should know: requests in quarantine and suspects. */
   list(): readonly SuspectedRequest[]
   /** Rises with each change of that list. */
@@ -43,17 +43,19 @@
   readonly changes: Observable<void>
 }
 
-type BlameCommand = QuarantineRequest | ReleaseRequest
+type QuarantineCommand = QuarantineRequest | ReleaseRequest
 
 /** Creates the source. */
-export function createBlameSource(options: BlameSourceOptions): BlameSource {
+export function createQuarantineCoordinator(
+  options: QuarantineCoordinatorOptions,
+): QuarantineCoordinator {
   const { member, quarantine, logger } = options
-  const tally = createBlameTally(options.timers)
-  const trials = createBlameTrials(options)
+  const tally = createCrashTally(options.timers)
+  const trials = createTrialScheduler(options)
   const changes = new Subject<void>()
   /** What is to be put into the log, by request; it stays here until it is there. */
-  const wanted = new Map<RequestFingerprint, BlameCommand>()
-  const proposing = new Set<BlameCommand>()
+  const wanted = new Map<RequestFingerprint, QuarantineCommand>()
+  const proposing = new Set<QuarantineCommand>()
   let knownTerm: number | undefined
 
   /** Routers report all that they know to a new leader. */
@@ -66,7 +68,7 @@
     }
     knownTerm = term
   }
-  const propose = async (command: BlameCommand) => {
+  const propose = async (command: QuarantineCommand) => {
     const { request } = command
     proposing.add(command)
     try {
@@ -93,16 +95,16 @@
   ) => {
     if (wanted.get(request)?.kind === 'request.quarantine') return
     wanted.set(request, { kind: 'request.quarantine', request, round })
-    const holdMs = findHoldMs(round)
+    const holdMs = findQuarantineMs(round)
     logger.warn('request.quarantined', { fingerprint: request, round, servers, holdMs })
   }
-  const recordEnd = ({ request, round }: BlamedSend, server: BackendServerId) => {
+  const recordEnd = ({ request, round }: InterruptedSend, server: BackendServerId) => {
     const held = quarantine.find(request)
     // What was sent before the router knew of the quarantine says nothing that led to it.
     if (round !== (held?.round ?? 0)) return
     if (held) return wantQuarantine(request, round + 1, [server])
     const { servers } = tally.addEnd(request, server)
-    if (servers.size >= ENDS_TO_QUARANTINE) wantQuarantine(request, 1, [...servers])
+    if (servers.size >= CRASHES_TO_QUARANTINE) wantQuarantine(request, 1, [...servers])
   }
   const recordAnswered = (request: RequestFingerprint) => {
     tally.remove(request)
--- a/packages/control/src/blame/blameTally.ts
+++ b/packages/control/src/blame/blameTally.ts
@@ -4,20 +4,20 @@
  */
 import type { BackendServerId, RequestFingerprint, TimerService } from '@spoolgate/core'
 import { createFingerprintMap } from './fingerprintMap.js'
-import { ENDS_TO_SUSPECT } from './requestBlame.js'
+import { CRASHES_TO_SUSPECT } from './requestBlame.js'
 
 /** What speaks against a request. */
-export interface Suspicion {
+export interface RequestCrashes {
   /** Servers that ended under it. */
   readonly servers: ReadonlySet<BackendServerId>
   /** When the last of them ended, in ms of the monotonic clock. */
   readonly lastEndAt: number
 }
 
-/** See {@link createBlameTally}. */
-export interface BlameTally {
+/** See {@link createCrashTally}. */
+export interface CrashTally {
   /** Counts the end of a server under a request, once. */
-  addEnd(request: RequestFingerprint, server: BackendServerId): Suspicion
+  addEnd(request: RequestFingerprint, server: BackendServerId): RequestCrashes
   remove(request: RequestFingerprint): void
   /** Lists the requests that routers should know of. */
   listSuspects(): readonly RequestFingerprint[]
@@ -31,19 +31,19 @@
  * Requests that are kept: of each caller, and callers. An engine of the users' runs 64 at a time, and four that end together leave
  * 256 behind; all together take 20 MB at 150 bytes each.
  */
-const BOUNDS = { maxPerCaller: 256, maxCallers: 512 }
+const TALLY_BOUNDS = { maxPerCaller: 256, maxCallers: 512 }
 
 /** Time without an end after which what was counted no longer speaks against a request, in ms. */
-const SUSPICION_MS = 3_600_000
+const CRASH_RETENTION_MS = 3_600_000
 
 /** Creates a tally without ends. */
-export function createBlameTally(timers: TimerService): BlameTally {
-  const suspicions = createFingerprintMap<Suspicion>(BOUNDS)
+export function createCrashTally(timers: TimerService): CrashTally {
+  const suspicions = createFingerprintMap<RequestCrashes>(TALLY_BOUNDS)
   let revision = 0
-  const isSuspect = ({ servers }: Suspicion) => servers.size >= ENDS_TO_SUSPECT
+  const isSuspect = ({ servers }: RequestCrashes) => servers.size >= CRASHES_TO_SUSPECT
   const findRecent = (request: RequestFingerprint) => {
     const known = suspicions.find(request)
-    return known && timers.now() - known.lastEndAt < SUSPICION_MS ? known : undefined
+    return known && timers.now() - known.lastEndAt < CRASH_RETENTION_MS ? known : undefined
   }
   return {
     addEnd: (request, server) => {
--- a/packages/control/src/blame/blameTrials.ts
+++ b/packages/control/src/blame/blameTrials.ts
@@ -5,16 +5,16 @@
 import type { RequestFingerprint, TimerService } from '@spoolgate/core'
 import { QUARANTINE_BOUNDS, type QuarantineState } from '../state/quarantineState.js'
 import { createFingerprintMap } from './fingerprintMap.js'
-import { findHoldMs } from './requestBlame.js'
+import { findQuarantineMs } from './requestBlame.js'
 
-/** Options of {@link createBlameTrials}. */
-export interface BlameTrialsOptions {
+/** Options of {@link createTrialScheduler}. */
+export interface TrialSchedulerOptions {
   readonly quarantine: Pick<QuarantineState, 'find'>
   readonly timers: TimerService
 }
 
-/** See {@link createBlameTrials}. */
-export interface BlameTrials {
+/** See {@link createTrialScheduler}. */
+export interface TrialScheduler {
   /** Notes that a router did not try what it might have tried. */
   recordUntried(request: RequestFingerprint): void
   /** Forgets a request that was answered: its next quarantine is another one. */
@@ -26,7 +26,7 @@
 }
 
 /** A round of a request in quarantine. */
-interface Round {
+interface QuarantineRound {
   readonly round: number
   /** When a router was first asked for it, in ms of the monotonic clock. */
   readonly since: number
@@ -35,16 +35,19 @@
 }
 
 /** Time for which nothing else is tried, in ms: twice as long as a router keeps a trial that nobody asks for. */
-const TRIAL_MS = 4_000
+const TRIAL_TIMEOUT_MS = 4_000
 /** Time after which a trial without a result is made again, in ms: above the deadlines of the users' callers. */
-const RETRY_MS = 20_000
+const TRIAL_RETRY_MS = 20_000
 
 /** Creates trials, none of them in progress. */
-export function createBlameTrials({ quarantine, timers }: BlameTrialsOptions): BlameTrials {
-  const rounds = createFingerprintMap<Round>(QUARANTINE_BOUNDS)
-  let current: { readonly request: RequestFingerprint; readonly state: Round } | undefined
+export function createTrialScheduler({
+  quarantine,
+  timers,
+}: TrialSchedulerOptions): TrialScheduler {
+  const rounds = createFingerprintMap<QuarantineRound>(QUARANTINE_BOUNDS)
+  let current: { readonly request: RequestFingerprint; readonly state: QuarantineRound } | undefined
 
-  const findRound = (request: RequestFingerprint): Round | undefined => {
+  const findRound = (request: RequestFingerprint): QuarantineRound | undefined => {
     const round = quarantine.find(request)?.round
     if (round === undefined) return undefined
     const known = rounds.find(request)
@@ -57,12 +60,14 @@
     const known = findRound(request)
     if (!known) return false
     const now = timers.now()
-    return now - known.since >= findHoldMs(known.round) && now - known.triedAt >= RETRY_MS
+    return (
+      now - known.since >= findQuarantineMs(known.round) && now - known.triedAt >= TRIAL_RETRY_MS
+    )
   }
   const isUnderWay = () =>
     current !== undefined &&
     quarantine.find(current.request)?.round === current.state.round &&
-    timers.now() - current.state.triedAt < TRIAL_MS
+    timers.now() - current.state.triedAt < TRIAL_TIMEOUT_MS
   return {
     recordUntried: (request) => {
       const known = rounds.find(request)
--- a/packages/control/src/blame/fingerprintMap.ts
+++ b/packages/control/src/blame/fingerprintMap.ts
@@ -3,10 +3,10 @@
  * own and nobody else's.
  */
 import { removeOldest, type RequestFingerprint } from '@spoolgate/core'
-import { findCaller } from './requestBlame.js'
+import { parseCallerHash } from './requestBlame.js'
 
 /** Bounds of {@link createFingerprintMap}. */
-export interface FingerprintBounds {
+export interface FingerprintMapBounds {
   readonly maxPerCaller: number
   readonly maxCallers: number
 }
@@ -30,18 +30,18 @@
 }
 
 /** Creates an empty map. */
-export function createFingerprintMap<Value>(bounds: FingerprintBounds): FingerprintMap<Value> {
+export function createFingerprintMap<Value>(bounds: FingerprintMapBounds): FingerprintMap<Value> {
   const callers = new Map<string, Map<RequestFingerprint, Value>>()
   return {
-    find: (request) => callers.get(findCaller(request))?.get(request),
+    find: (request) => callers.get(parseCallerHash(request))?.get(request),
     add: (request, value) => {
-      const caller = findCaller(request)
+      const caller = parseCallerHash(request)
       const own = callers.get(caller) ?? new Map<RequestFingerprint, Value>()
       addNewest(own, request, value, bounds.maxPerCaller)
       addNewest(callers, caller, own, bounds.maxCallers)
     },
     remove: (request) => {
-      const caller = findCaller(request)
+      const caller = parseCallerHash(request)
       const own = callers.get(caller)
       const isRemoved = own?.delete(request) === true
       if (own?.size === 0) callers.delete(caller)
--- a/packages/control/src/blame/requestBlame.ts
+++ b/packages/control/src/blame/requestBlame.ts
@@ -6,21 +6,21 @@
 import type { BackendServerId, RequestFingerprint } from '@spoolgate/core'
 
 /** A send of a request, with what its router knew of the request by then. */
-export interface BlamedSend {
+export interface InterruptedSend {
   readonly request: RequestFingerprint
   /** Round of the quarantine that was over when the request was sent; 0 for none. */
   readonly round: number
 }
 
 /** A server that ended, and what a router had sent it without getting a whole answer. */
-export interface ExitedServer {
+export interface CrashedServer {
   readonly server: BackendServerId
-  readonly sends: readonly BlamedSend[]
+  readonly sends: readonly InterruptedSend[]
 }
 
 /** What a router reports to control of requests. */
-export interface BlameReport {
-  readonly ended: readonly ExitedServer[]
+export interface CrashReport {
+  readonly ended: readonly CrashedServer[]
   /** Requests that were answered whole after they were reported as suspected to the router. */
   readonly answered: readonly RequestFingerprint[]
   /** Requests in quarantine that were refused since the last report, the most often refused first. */
@@ -40,21 +40,21 @@
  * Servers that end under a request before it is refused. Two may end by chance with the same request: it is lost with
  * the first and sent again to the second. The users allow three, and three sends more.
  */
-export const ENDS_TO_QUARANTINE = 3
+export const CRASHES_TO_QUARANTINE = 3
 /**
  * Crashes from which on a request is reported to all routers, so that those that had it answered can say so. A single crash
  * concerns all that its server was running.
  */
-export const ENDS_TO_SUSPECT = 2
+export const CRASHES_TO_SUSPECT = 2
 /** Quarantine period before each probe, in ms. */
-const HOLD_MS = [1_000, 5_000, 600_000, 30 * 24 * 3_600_000]
+const QUARANTINE_MS = [1_000, 5_000, 600_000, 30 * 24 * 3_600_000]
 
 /** Finds how long a request is refused in a round before it is tried, in ms. */
-export function findHoldMs(round: number): number {
-  return HOLD_MS[Math.min(round, HOLD_MS.length) - 1] ?? 0
+export function findQuarantineMs(round: number): number {
+  return QUARANTINE_MS[Math.min(round, QUARANTINE_MS.length) - 1] ?? 0
 }
 
 /** Finds the part of a fingerprint that all requests of one caller share. */
-export function findCaller(request: RequestFingerprint): string {
+export function parseCallerHash(request: RequestFingerprint): string {
   return request.split('.', 1)[0]
 }
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -59,12 +59,12 @@
 export { createLimitParts, type LimitParts } from './registry/limitParts.js'
 export { createControlMachine, type ControlMachine } from './state/controlMachine.js'
 export { createLoadSum, type LoadSum } from './registry/loadSum.js'
-export { createBlameSource, type BlameSource } from './blame/blameSource.js'
-export { createBlameRecord, type BlameRecord } from './blame/blameRecord.js'
+export { createQuarantineCoordinator, type QuarantineCoordinator } from './blame/blameSource.js'
+export { createCrashReportBuffer, type CrashReportBuffer } from './blame/blameRecord.js'
 export {
-  ENDS_TO_QUARANTINE,
-  findHoldMs,
-  type BlamedSend,
+  CRASHES_TO_QUARANTINE,
+  findQuarantineMs,
+  type InterruptedSend,
   type SuspectedRequest,
 } from './blame/requestBlame.js'
 export type { FleetView } from './registry/heldFleet.js'
--- a/packages/control/src/registry/feed.ts
+++ b/packages/control/src/registry/feed.ts
@@ -5,7 +5,7 @@
  * holds was the newest when it asked.
  */
 import type { BackendServerId, RequestFingerprint } from '@spoolgate/core'
-import type { BlameReport, SuspectedRequest } from '../blame/requestBlame.js'
+import type { CrashReport, SuspectedRequest } from '../blame/requestBlame.js'
 import type { ServerNews } from './serverChanges.js'
 import type { TableUpdate } from '../table/tableUpdate.js'
 import type { QuotaGrants, QuotaReport } from './quotaCredits.js'
@@ -113,7 +113,7 @@
   /** Where this router stands in the list of all that is kept. */
   readonly keptPosition: KeptPosition
   /** What this router saw of requests under which servers end; missing before version 0.5. */
-  readonly blame?: BlameReport
+  readonly blame?: CrashReport
   /** Revision of the suspected requests that this router holds, as this term counts them. */
   readonly suspectsSeen?: number
   /** Limits that this router observed and no leader of the term has acknowledged. */
--- a/packages/control/src/registry/feedFollower.ts
+++ b/packages/control/src/registry/feedFollower.ts
@@ -12,7 +12,7 @@
 } from '@spoolgate/core'
 import type { RoutingTable } from '@spoolgate/routing'
 import { Subject, type Observable } from 'rxjs'
-import type { BlameRecord, UnreportedBlame } from '../blame/blameRecord.js'
+import type { CrashReportBuffer, UnreportedOutcomes } from '../blame/blameRecord.js'
 import type { SuspectedRequest } from '../blame/requestBlame.js'
 import {
   FEED_PATH,
@@ -48,7 +48,7 @@
   /** Called with what other routers placed. */
   readonly onPlacements: (placements: readonly Placement[]) => void
   /** What this router knows of requests under which servers ended. */
-  readonly blame: Pick<BlameRecord, 'listUnreported' | 'recordReported'>
+  readonly blame: Pick<CrashReportBuffer, 'listUnreported' | 'recordReported'>
   /** Limits of servers that this router observed. */
   readonly limits: LimitRecord
   /** What this router uses of the teams' limits. */
@@ -113,7 +113,7 @@
   /** Placements that were reported with it. */
   readonly reported: ReadonlySet<Placement>
   /** What was reported of requests. */
-  readonly blame: UnreportedBlame
+  readonly blame: UnreportedOutcomes
   readonly limits: ObservedLimits
   /** When it was asked for, in ms of the steady clock. */
   readonly sentAt: number
--- a/packages/control/src/registry/feedSource.ts
+++ b/packages/control/src/registry/feedSource.ts
@@ -8,7 +8,7 @@
 } from '@spoolgate/core'
 import { filter, firstValueFrom, fromEvent, merge, race, share, type Observable } from 'rxjs'
 import type { ServerResponse } from 'node:http'
-import type { BlameSource } from '../blame/blameSource.js'
+import type { QuarantineCoordinator } from '../blame/blameSource.js'
 import type { RaftMember } from '../raft/types.js'
 import type { ControlMachine } from '../state/controlMachine.js'
 import {
@@ -40,7 +40,7 @@
   readonly conditionChanges: Observable<void>
   readonly tables: TableHistory
   /** Judges requests under which servers end. */
-  readonly blame: BlameSource
+  readonly blame: QuarantineCoordinator
   /** Limits of teams. */
   readonly quotas: QuotaBuckets
   /** What engines and stores keep, for routers that do not know it yet. */
--- a/packages/control/src/registry/registryControl.ts
+++ b/packages/control/src/registry/registryControl.ts
@@ -21,7 +21,7 @@
 } from '@spoolgate/core'
 import type { RoutingTable } from '@spoolgate/routing'
 import { merge, Subject } from 'rxjs'
-import { createBlameSource } from '../blame/blameSource.js'
+import { createQuarantineCoordinator } from '../blame/blameSource.js'
 import { createGroupKeeper, JOIN_PATH } from '../group/groupKeeper.js'
 import type { Joiner } from '../group/groupPlan.js'
 import { openIdentity } from '../group/identity.js'
@@ -230,7 +230,12 @@
     timers,
     stopping,
   })
-  const blame = createBlameSource({ member, quarantine: machine.quarantine, timers, logger })
+  const blame = createQuarantineCoordinator({
+    member,
+    quarantine: machine.quarantine,
+    timers,
+    logger,
+  })
   const quotas = createQuotaBuckets({
     timers,
     findQuota: table.findQuota,
--- a/packages/router/src/__tests__/blameSimulation.spec.ts
+++ b/packages/router/src/__tests__/blameSimulation.spec.ts
@@ -6,8 +6,8 @@
 import { expect } from 'chai'
 import {
   BACK_AFTER_MS,
-  runBlameSimulation,
-  type BlameSimulationOptions,
+  runQuarantineSimulation,
+  type QuarantineSimulationOptions,
   type KindCount,
 } from './blameSimulation.js'
 
@@ -16,7 +16,7 @@
 /** The users' bound on recovery once machines are back, in ms. */
 const RECOVERY_MS = 12_000
 
-const SMALL: BlameSimulationOptions = {
+const SMALL: QuarantineSimulationOptions = {
   routers: 6,
   servers: 6,
   harmful: 2,
@@ -25,7 +25,7 @@
   seed: 1,
   durationMs: 24_000,
 }
-const SIZES: readonly BlameSimulationOptions[] = [
+const SIZES: readonly QuarantineSimulationOptions[] = [
   SMALL,
   { ...SMALL, routers: 70, servers: 82, ordinaryPerSecond: 300, popularPerSecond: 100 },
   { ...SMALL, routers: 410, servers: 600, ordinaryPerSecond: 300, popularPerSecond: 100 },
@@ -38,7 +38,7 @@
 describe('harmful requests that come again and again', () => {
   for (const size of SIZES) {
     it(`reach three servers more at most: ${size.routers} routers, ${size.servers} servers`, async () => {
-      const { lateSends, ordinary, popular, harmlessHeld } = await runBlameSimulation(size)
+      const { lateSends, ordinary, popular, harmlessHeld } = await runQuarantineSimulation(size)
       expect(Math.max(...lateSends)).to.be.at.most(SENDS_ALLOWED)
       // The last ones are in flight when the simulation ends.
       const isLate = ({ sent, answered }: KindCount) => sent - answered
@@ -57,7 +57,7 @@
       const countedFrom = at + 6_000 + RECOVERY_MS
       const durationMs = countedFrom + 10_000
       const play = { ...SMALL, ...changes, seed, countedFrom, durationMs }
-      const { lateSends, popular } = await runBlameSimulation(play)
+      const { lateSends, popular } = await runQuarantineSimulation(play)
       expect(Math.max(...lateSends), `seed ${seed}`).to.be.at.most(SENDS_ALLOWED)
       expect(measureShare(popular), `seed ${seed}`).to.be.at.least(SHARE_ANSWERED)
     }
@@ -71,7 +71,7 @@
       const countedFrom = 6_600 + BACK_AFTER_MS + RECOVERY_MS
       const durationMs = countedFrom + 10_000
       const play = { ...SMALL, harmful: 0, powerLosses, seed, countedFrom, durationMs }
-      const { popular, ordinary } = await runBlameSimulation(play)
+      const { popular, ordinary } = await runQuarantineSimulation(play)
       expect(measureShare(popular), `seed ${seed}`).to.be.at.least(SHARE_ANSWERED)
       expect(measureShare(ordinary), `seed ${seed}`).to.be.at.least(SHARE_ANSWERED)
     }
--- a/packages/router/src/__tests__/blameSimulation.ts
+++ b/packages/router/src/__tests__/blameSimulation.ts
@@ -3,8 +3,8 @@
  * judgement of a leader and its replicated state, on stand-in servers that end under what is harmful.
  */
 import {
-  createBlameRecord,
-  createBlameSource,
+  createCrashReportBuffer,
+  createQuarantineCoordinator,
   createControlMachine,
   type SuspectedRequest,
 } from '@spoolgate/control'
@@ -20,7 +20,7 @@
 import { createRequestQuarantine, type RequestQuarantine } from '../direct/requestQuarantine.js'
 
 /** What is shown. */
-export interface BlameSimulationOptions {
+export interface QuarantineSimulationOptions {
   readonly routers: number
   readonly servers: number
   /** Harmful requests, each sent again every 250 ms. */
@@ -50,12 +50,12 @@
 }
 
 /** What a play showed. */
-export interface BlameSimulationResult {
+export interface QuarantineSimulationResult {
   /** Ends of servers under harmful requests. */
   readonly ends: number
   /** By harmful request, sends later than the allowed time after the third end under it. */
   readonly lateSends: readonly number[]
-  /** Counts of requests that were sent from {@link BlameSimulationOptions.countedFrom} on, but for the last ones. */
+  /** Counts of requests that were sent from {@link QuarantineSimulationOptions.countedFrom} on, but for the last ones. */
   readonly ordinary: KindCount
   readonly popular: KindCount
   /** Harmless requests in quarantine at the end. */
@@ -102,15 +102,15 @@
 
 interface SimulatedRouter {
   quarantine: RequestQuarantine
-  record: ReturnType<typeof createBlameRecord>
+  record: ReturnType<typeof createCrashReportBuffer>
   term: number
   suspectsSeen: number | undefined
 }
 
 /** Simulates a load and reports what became of it. */
-export async function runBlameSimulation(
-  options: BlameSimulationOptions,
-): Promise<BlameSimulationResult> {
+export async function runQuarantineSimulation(
+  options: QuarantineSimulationOptions,
+): Promise<QuarantineSimulationResult> {
   const timers = createManualTimerService()
   const random = createRandomSource(options.seed)
   const logger = createQuietLogger()
@@ -126,10 +126,10 @@
       }),
   }
   const createLeader = () =>
-    createBlameSource({ member, quarantine: machine.quarantine, timers, logger })
+    createQuarantineCoordinator({ member, quarantine: machine.quarantine, timers, logger })
   let leader = createLeader()
   const createRouter = (): SimulatedRouter => {
-    const record = createBlameRecord(timers)
+    const record = createCrashReportBuffer(timers)
     const quarantine = createRequestQuarantine({ record, timers, logger })
     return { quarantine, record, term: 0, suspectsSeen: undefined }
   }
--- a/packages/router/src/__tests__/plannedStop.spec.ts
+++ b/packages/router/src/__tests__/plannedStop.spec.ts
@@ -10,7 +10,11 @@
 } from '@spoolgate/core'
 import { expect } from 'chai'
 import type { CallPlan } from '../direct/callPlan.js'
-import { createPlannedStop, listStopInputs, type PlannedStop } from '../direct/plannedStop.js'
+import {
+  createGracefulShutdown,
+  listRefusalFields,
+  type GracefulShutdown,
+} from '../direct/plannedStop.js'
 
 const DRAIN_MS = 8_000
 
@@ -29,7 +33,7 @@
   let timers: ManualTimerService
   let lines: string[]
   let counted: number
-  let stop: PlannedStop
+  let stop: GracefulShutdown
 
   beforeEach(() => {
     timers = createManualTimerService()
@@ -37,7 +41,7 @@
     counted = 0
     const logger = createLogger({ write: (line) => lines.push(line) })
     const cutOff = { add: (count: number) => (counted += count) } as unknown as Counter
-    stop = createPlannedStop({ timers, logger, cutOff })
+    stop = createGracefulShutdown({ timers, logger, cutOff })
   })
 
   /** Lines of one event, without time and level. */
@@ -115,7 +119,7 @@
   const timers = createManualTimerService()
   const cutOff = { add: () => {} } as unknown as Counter
   const logger = createQuietLogger()
-  const stop = createPlannedStop({ timers, logger, cutOff })
+  const stop = createGracefulShutdown({ timers, logger, cutOff })
   const createPlan = (limitMs: number) => ({ deadline: timers.now() + limitMs }) as CallPlan
 
   it('is everything while no stop is under way', () => {
@@ -135,7 +139,7 @@
         notRun: true,
         retryAfterSeconds: 0.05,
       })
-      expect(listStopInputs(refusal as SpoolgateError)).to.deep.equal({ limitMs, leftMs: 8_000 })
+      expect(listRefusalFields(refusal as SpoolgateError)).to.deep.equal({ limitMs, leftMs: 8_000 })
     }
   })
 
--- a/packages/router/src/__tests__/refusals.spec.ts
+++ b/packages/router/src/__tests__/refusals.spec.ts
@@ -1,24 +1,28 @@
 import type { RouteRule } from '@spoolgate/routing'
 import { expect } from 'chai'
 import { rankPriority, rankSend } from '../direct/callPlan.js'
-import { createRefusal, createTimeoutError, findComeBackSeconds } from '../direct/refusals.js'
+import {
+  createUnavailableError,
+  createTimeoutError,
+  findRetryAfterSeconds,
+} from '../direct/refusals.js'
 
 describe('refusals', () => {
   it('promise that nothing ran only where nothing can have run', () => {
-    expect(createRefusal(false, 0.2)).to.include({ status: 503, notRun: true })
-    expect(createRefusal(false, 0.2).retryAfterSeconds).to.equal(0.2)
-    expect(createRefusal(true, 0.2)).to.include({ status: 502, notRun: false })
+    expect(createUnavailableError(false, 0.2)).to.include({ status: 503, notRun: true })
+    expect(createUnavailableError(false, 0.2).retryAfterSeconds).to.equal(0.2)
+    expect(createUnavailableError(true, 0.2)).to.include({ status: 502, notRun: false })
     expect(createTimeoutError(false)).to.include({ status: 503, notRun: true })
     expect(createTimeoutError(true)).to.include({ status: 504, notRun: false })
   })
 
   it('come at once for a request that would wait too long, and say when to come back', () => {
-    expect(findComeBackSeconds(500, 6_000)).to.equal(undefined)
-    expect(findComeBackSeconds(5_900, 6_000)).to.equal(undefined)
-    expect(findComeBackSeconds(6_200, 6_000)).to.be.within(0.15, 0.25)
-    expect(findComeBackSeconds(500, 300)).to.be.within(0.15, 0.25)
-    expect(findComeBackSeconds(60_000, 6_000)).to.equal(1)
-    expect(findComeBackSeconds(Infinity, 6_000)).to.equal(1)
+    expect(findRetryAfterSeconds(500, 6_000)).to.equal(undefined)
+    expect(findRetryAfterSeconds(5_900, 6_000)).to.equal(undefined)
+    expect(findRetryAfterSeconds(6_200, 6_000)).to.be.within(0.15, 0.25)
+    expect(findRetryAfterSeconds(500, 300)).to.be.within(0.15, 0.25)
+    expect(findRetryAfterSeconds(60_000, 6_000)).to.equal(1)
+    expect(findRetryAfterSeconds(Infinity, 6_000)).to.equal(1)
   })
 })
 
--- a/packages/router/src/__tests__/serverExits.spec.ts
+++ b/packages/router/src/__tests__/serverExits.spec.ts
@@ -8,7 +8,7 @@
 } from '@spoolgate/core'
 import { expect } from 'chai'
 import { Subject } from 'rxjs'
-import { createServerExits } from '../direct/serverExits.js'
+import { createCrashDetector } from '../direct/serverExits.js'
 
 const SEND = { request: toRequestFingerprint('c.1'), round: 0 }
 const SERVER = { id: toBackendServerId('s@1'), address: '10.0.0.1:80' }
@@ -20,7 +20,7 @@
   const views = new Subject<{ servers: ReadonlyMap<BackendServerId, RegisteredServer> }>()
   const ended: BackendServerId[] = []
   let looks = 0
-  const exits = createServerExits({
+  const exits = createCrashDetector({
     liveness: {
       checkAlive: async () => {
         looks += 1
--- a/packages/router/src/__tests__/serverRestarts.spec.ts
+++ b/packages/router/src/__tests__/serverRestarts.spec.ts
@@ -2,7 +2,7 @@
 import { createLogger, createManualTimerService, toServerName } from '@spoolgate/core'
 import { expect } from 'chai'
 import { Subject } from 'rxjs'
-import { createServerRestarts, watchSilence } from '../direct/serverRestarts.js'
+import { createRestartDetector, watchStall } from '../direct/serverRestarts.js'
 
 function buildServer(name: string, startedAt: number | undefined, address: string) {
   return { ...buildServerIdentity(toServerName(name), startedAt), address } as RegisteredServer
@@ -13,7 +13,7 @@
     const views = new Subject<{ servers: ReadonlyMap<RegisteredServer['id'], RegisteredServer> }>()
     const closed: string[] = []
     const lines: string[] = []
-    const restarts = createServerRestarts({
+    const restarts = createRestartDetector({
       views,
       agent: { closeIdle: (address) => void closed.push(address) },
       logger: createLogger({ write: (line) => void lines.push(line) }),
@@ -61,7 +61,7 @@
     const restarted = new Subject<void>()
     const events: string[] = []
     let lastSignAt = timers.now()
-    watchSilence({
+    watchStall({
       restarts: { watch: () => restarted },
       timers,
       server: buildServerIdentity(toServerName('i'), 1).id,
--- a/packages/router/src/decide/decisionLog.ts
+++ b/packages/router/src/decide/decisionLog.ts
@@ -3,7 +3,7 @@
 import type { PolicyName } from '@spoolgate/config'
 
 /** A candidate as it was weighed. */
-export interface WeighedCandidate {
+export interface ScoredCandidate {
   readonly server: BackendServerId
   readonly score: number
   readonly reason: string
@@ -19,7 +19,7 @@
   readonly promptTokens: number
   readonly chosen: BackendServerId
   /** The best few, in order. */
-  readonly candidates: readonly WeighedCandidate[]
+  readonly candidates: readonly ScoredCandidate[]
 }
 
 /** What an attempt came to, in words for a person. */
@@ -50,7 +50,7 @@
 /** Requests that are remembered: a few minutes at 13 requests a second, about 1 kB each. */
 const MAX_REMEMBERED = 5_000
 
-function formatCandidates(candidates: readonly WeighedCandidate[]): string {
+function formatCandidates(candidates: readonly ScoredCandidate[]): string {
   return candidates
     .map(({ server, score, reason }) => `${server}:${score.toFixed(1)}(${reason})`)
     .join(';')
--- a/packages/router/src/decide/decisions.ts
+++ b/packages/router/src/decide/decisions.ts
@@ -26,8 +26,8 @@
 } from '@spoolgate/routing'
 import type { DecisionLog } from './decisionLog.js'
 
-/** Options of {@link createDecider}. */
-export interface DeciderOptions {
+/** Options of {@link createServerSelector}. */
+export interface ServerSelectorOptions {
   readonly hall: string
   readonly region: string
   readonly state: PolicyState
@@ -46,7 +46,7 @@
 }
 
 /** What a decision is about. */
-export interface DecisionRequest {
+export interface SelectionRequest {
   readonly request: RequestId
   readonly team: TeamId
   readonly parameters: TeamParameters
@@ -62,7 +62,7 @@
 }
 
 /** A choice. */
-export interface Decision {
+export interface RoutingDecision {
   readonly chosen: RankedCandidate
   readonly policy: PolicyName
   /** Time to the first token up to which the choice stays the best one; undefined for any, in ms. */
@@ -70,11 +70,11 @@
 }
 
 /** Makes decisions. */
-export interface Decider {
+export interface ServerSelector {
   /** Chooses the backend server to try next; undefined when none is left. */
-  choose(request: DecisionRequest): Promise<Decision | undefined>
+  choose(request: SelectionRequest): Promise<RoutingDecision | undefined>
   /** Finds the policy arm of a session. */
-  findPolicy(request: Pick<DecisionRequest, 'parameters' | 'session'>): PolicyName
+  findPolicy(request: Pick<SelectionRequest, 'parameters' | 'session'>): PolicyName
 }
 
 /** One-way distances that the score assumes, in ms. */
@@ -105,7 +105,7 @@
 }
 
 /** Creates a decider. */
-export function createDecider(options: DeciderOptions): Decider {
+export function createServerSelector(options: ServerSelectorOptions): ServerSelector {
   const { state, ejection, timers, random, client } = options
   const probes = options.metrics.counter('probes', 'Probes sent before a choice')
 
@@ -113,14 +113,14 @@
     if (server.hall === options.hall && server.region === options.region) return SAME_HALL_MS
     return server.region === options.region ? SAME_REGION_MS : OTHER_REGION_MS
   }
-  const findPolicy: Decider['findPolicy'] = ({ parameters, session }) => {
+  const findPolicy: ServerSelector['findPolicy'] = ({ parameters, session }) => {
     const { arms } = parameters
     if (arms.length === 1) return arms[0].policy
     const total = arms.reduce((sum, arm) => sum + arm.share, 0)
     let point = ((hashText(session) % ARM_RESOLUTION) / ARM_RESOLUTION) * total
     return (arms.find((arm) => (point -= arm.share) < 0) ?? arms[0]).policy
   }
-  const createFilter = (request: DecisionRequest, servers: readonly BackendServer[]) => {
+  const createFilter = (request: SelectionRequest, servers: readonly BackendServer[]) => {
     const { parameters, excluded, weightsVersion } = request
     const ejected = ejection.listEjected(servers, timers.now())
     const isUsable = (server: BackendServer) => {
@@ -138,7 +138,7 @@
     // for its sidecar decides again.
     return servers.some(isPreferred) ? isPreferred : isUsable
   }
-  const rank = (request: DecisionRequest, policy: PolicyName, seen: PolicyState = state) => {
+  const rank = (request: SelectionRequest, policy: PolicyName, seen: PolicyState = state) => {
     const servers = request.fleet.backendServersByTarget.get(request.target) ?? []
     return POLICIES[policy].rank({
       chain: request.chain,
@@ -175,7 +175,7 @@
       ejection.record(id, 'failed', timers.now())
     }
   }
-  const chooseProbed = async (request: DecisionRequest, policy: PolicyName, count: number) => {
+  const chooseProbed = async (request: SelectionRequest, policy: PolicyName, count: number) => {
     const first = rank(request, policy).slice(0, count)
     await Promise.all(first.map((candidate) => probe(candidate, request.chain)))
     const asked = new Set(first.map(({ server }) => server.id))
@@ -183,9 +183,9 @@
   }
   /** Ranks with what `findTruth` says in place of remembered hints. */
   const rankWithTruth = (
-    request: DecisionRequest,
+    request: SelectionRequest,
     policy: PolicyName,
-    findTruth: NonNullable<DeciderOptions['findTruth']>,
+    findTruth: NonNullable<ServerSelectorOptions['findTruth']>,
   ) => {
     const hints = createHintTable({ isComplete: true, maxLevels: TRUTH_LEVELS })
     for (const server of request.fleet.backendServersByTarget.get(request.target) ?? []) {
@@ -194,7 +194,7 @@
     }
     return rank(request, policy, { ...state, hints })
   }
-  const rankFor = (request: DecisionRequest, policy: PolicyName) => {
+  const rankFor = (request: SelectionRequest, policy: PolicyName) => {
     const { probes, probesInDoubt = 0 } = POLICIES[policy]
     if (probes > 0) return chooseProbed(request, policy, probes)
     if (options.findTruth) return rankWithTruth(request, policy, options.findTruth)
--- a/packages/router/src/direct/directParts.ts
+++ b/packages/router/src/direct/directParts.ts
@@ -16,11 +16,11 @@
 import type { ServerLimits } from '../limits/serverLimits.js'
 import type { Liveness } from './liveness.js'
 import type { PartMemory } from './partMemory.js'
-import type { PlannedStop } from './plannedStop.js'
+import type { GracefulShutdown } from './plannedStop.js'
 import type { RetryShare } from './retryShare.js'
 import type { RequestQuarantine } from './requestQuarantine.js'
-import type { ServerExits } from './serverExits.js'
-import type { ServerRestarts } from './serverRestarts.js'
+import type { CrashDetector } from './serverExits.js'
+import type { RestartDetector } from './serverRestarts.js'
 import type { ServerBoard } from './serverBoard.js'
 import type { WorkSplit } from './workSplit.js'
 import type { WorkTimes } from './workTimes.js'
@@ -54,8 +54,8 @@
   readonly split: WorkSplit
   readonly times: WorkTimes
   readonly retries: RetryShare
-  readonly restarts: Pick<ServerRestarts, 'watch'>
-  readonly exits: Pick<ServerExits, 'recordLost'>
+  readonly restarts: Pick<RestartDetector, 'watch'>
+  readonly exits: Pick<CrashDetector, 'recordLost'>
   readonly quarantine: Pick<RequestQuarantine, 'admit' | 'recordAnswered'>
   readonly timers: TimerService
   /** Turns in which requests are sent. */
@@ -64,7 +64,7 @@
   readonly logger: Logger
   readonly rejectedInputs: Pick<RejectedInputs, 'record'>
   readonly instruments: DirectInstruments
-  readonly stop: Pick<PlannedStop, 'findRefusal'>
+  readonly stop: Pick<GracefulShutdown, 'findRefusal'>
   /** Age of the proof of the newest table beyond which keys are not trusted, in ms. */
   readonly maxProofAgeMs: number
 }
--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -5,7 +5,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
 import {
-  createBlameRecord,
+  createCrashReportBuffer,
   createFeedFollower,
   type FeedFollower,
   type LimitsUpdate,
@@ -33,7 +33,7 @@
 import type { DirectInstruments, DirectParts } from './directParts.js'
 import { createLiveness, openProbe } from './liveness.js'
 import { createPartMemory } from './partMemory.js'
-import { createPlannedStop, listStopInputs, type CallInProgress } from './plannedStop.js'
+import { createGracefulShutdown, listRefusalFields, type TrackedRequest } from './plannedStop.js'
 import { createRequestQuarantine } from './requestQuarantine.js'
 import { createRetryShare, type RetryBounds } from './retryShare.js'
 import { createQuotaAdmission } from '../limits/quotaAdmission.js'
@@ -41,8 +41,8 @@
 import { createServerLimits } from '../limits/serverLimits.js'
 import { addBackoffs } from './answerSignals.js'
 import { createServerBoard } from './serverBoard.js'
-import { createServerExits } from './serverExits.js'
-import { createServerRestarts } from './serverRestarts.js'
+import { createCrashDetector } from './serverExits.js'
+import { createRestartDetector } from './serverRestarts.js'
 import { serveCall } from './serveCall.js'
 import { createWorkSplit } from './workSplit.js'
 import { createWorkTimes } from './workTimes.js'
@@ -174,7 +174,7 @@
     // A place that is no server is a store.
     return Math.max(0, ...(view?.index.table.stores.map(({ cacheTokens }) => cacheTokens) ?? []))
   }
-  const blame = createBlameRecord(timers)
+  const blame = createCrashReportBuffer(timers)
   const quarantine = createRequestQuarantine({ record: blame, timers, logger })
   const credits = createQuotaCredits({
     router: options.instance,
@@ -222,8 +222,8 @@
     },
   })
   const instruments = createInstruments(metrics)
-  const stop = createPlannedStop({ timers, logger, cutOff: instruments.cutOff })
-  const restarts = createServerRestarts({
+  const stop = createGracefulShutdown({ timers, logger, cutOff: instruments.cutOff })
+  const restarts = createRestartDetector({
     views: feed.changes,
     agent,
     logger,
@@ -232,7 +232,7 @@
       limits.carryOver(before, after, timers.now())
     },
   })
-  const exits = createServerExits({
+  const exits = createCrashDetector({
     liveness,
     views: feed.changes,
     timers,
@@ -298,7 +298,7 @@
   const serve = async (
     request: IncomingMessage,
     response: ServerResponse,
-    tracked: CallInProgress,
+    tracked: TrackedRequest,
   ) => {
     const arrivedAt = timers.now()
     let call: DirectCall | undefined
@@ -327,7 +327,7 @@
         reason: error.message,
         tableVersion: feed.current()?.index.table.version,
         proofAgeMs: Math.round(feed.proofAgeMs()),
-        ...listStopInputs(error),
+        ...listRefusalFields(error),
       })
       instruments.refusals.add(1, { kind: error.kind })
       if (!response.headersSent) caller.sendRefusal(response, call, error)
--- a/packages/router/src/direct/plannedStop.ts
+++ b/packages/router/src/direct/plannedStop.ts
@@ -16,15 +16,15 @@
 import type { DirectCall } from './dialects.js'
 
 /** One request from its arrival until its connection has taken the answer, or has ended. */
-export interface CallInProgress {
+export interface TrackedRequest {
   /** Notes whose request it is, once its head was read. */
   recordCall(call: DirectCall): void
   /** Notes its route and its own limit, once they are known. */
   recordPlan(plan: CallPlan): void
 }
 
-/** The planned stop of one router; see {@link createPlannedStop}. */
-export interface PlannedStop {
+/** The planned stop of one router; see {@link createGracefulShutdown}. */
+export interface GracefulShutdown {
   isStopping(): boolean
   /**
    * Time within which a body must be there so that its request can still get an answer, in ms;
@@ -40,7 +40,7 @@
    * Notes a request that has just arrived; it counts until its answer is closed. Undefined when its
    * connection has been promised to end before it, so that nothing could carry its answer.
    */
-  add(request: IncomingMessage, response: ServerResponse): CallInProgress | undefined
+  add(request: IncomingMessage, response: ServerResponse): TrackedRequest | undefined
   /** Begins the stop; what is in progress after `drainMs` will be cut off. */
   start(drainMs: number): void
   /** Waits until nothing is in progress, or until the stop is over. */
@@ -49,8 +49,8 @@
   reportCutOff(): number
 }
 
-/** Options of {@link createPlannedStop}. */
-export interface PlannedStopOptions {
+/** Options of {@link createGracefulShutdown}. */
+export interface GracefulShutdownOptions {
   readonly timers: TimerService
   readonly logger: Logger
   /** Counts the requests that a stop cut off. */
@@ -66,7 +66,7 @@
 /** Requests with a log line of their own: half of the lines that a process may log in a second. */
 const MAX_CUT_OFF_LINES = 100
 
-interface Tracked {
+interface RequestInProgress {
   readonly response: ServerResponse
   readonly arrivedAt: number
   /** Whether it arrived during the stop. */
@@ -76,21 +76,21 @@
 }
 
 /** Lists for the log what decided a refusal of a stopping router. */
-export function listStopInputs({ kind, details }: SpoolgateError): LogFields {
+export function listRefusalFields({ kind, details }: SpoolgateError): LogFields {
   if (kind !== 'instanceStopping') return {}
   const inputs = Object.entries(details as Record<string, number>)
   return Object.fromEntries(inputs.map(([name, value]) => [name, Math.round(value)]))
 }
 
 /** Creates the planned stop of a router that runs. */
-export function createPlannedStop(options: PlannedStopOptions): PlannedStop {
+export function createGracefulShutdown(options: GracefulShutdownOptions): GracefulShutdown {
   const { timers, logger, cutOff } = options
-  const inProgress = new Set<Tracked>()
+  const inProgress = new Set<RequestInProgress>()
   const ends = createConnectionEnds(logger)
   let startedAt: number | undefined
   let stopsAt = Infinity
 
-  const sendLine = ({ response, arrivedAt, isLate, call, plan }: Tracked) => {
+  const sendLine = ({ response, arrivedAt, isLate, call, plan }: RequestInProgress) => {
     const now = timers.now()
     logger.warn('call.cutOff', {
       request: call?.id,
@@ -115,7 +115,7 @@
       })
     },
     add: (request, response) => {
-      const tracked: Tracked = {
+      const tracked: RequestInProgress = {
         response,
         arrivedAt: timers.now(),
         isLate: startedAt !== undefined,
--- a/packages/router/src/direct/quotaRefusal.ts
+++ b/packages/router/src/direct/quotaRefusal.ts
@@ -4,7 +4,7 @@
 import type { CallPlan } from './callPlan.js'
 import type { DirectCall } from './dialects.js'
 import type { DirectParts } from './directParts.js'
-import { drawReturnSeconds } from './refusals.js'
+import { drawRetryAfterSeconds } from './refusals.js'
 
 /** A refusal with the figures that decided it. */
 export interface QuotaRefusal {
@@ -32,7 +32,7 @@
 }
 
 /** Admits one send of a request by the limit of its team, or refuses it. */
-export async function admitQuota(parts: DirectParts, plan: CallPlan): Promise<QuotaDecision> {
+export async function takeQuota(parts: DirectParts, plan: CallPlan): Promise<QuotaDecision> {
   const { team, call } = plan
   const quota = team?.quota
   if (!team || !quota) return NO_LIMIT
@@ -42,7 +42,7 @@
     return { refusal: undefined, giveBack: () => parts.quotas.giveBack(use) }
   }
   const { perSecond, burst, unit } = quota
-  const retryAfterSeconds = drawReturnSeconds(verdict.retryAfterMs, parts.random)
+  const retryAfterSeconds = drawRetryAfterSeconds(verdict.retryAfterMs, parts.random)
   const message = `the limit of the team, ${perSecond} ${unit} a second, is reached; send less or try again later`
   const error = new SpoolgateError('limitReached', message, { retryAfterSeconds })
   const { held, isScarce, contactAgeMs } = verdict
--- a/packages/router/src/direct/refusals.ts
+++ b/packages/router/src/direct/refusals.ts
@@ -2,11 +2,11 @@
 import { SpoolgateError, type RandomSource } from '@spoolgate/core'
 
 /** Seconds after which a caller may try again when every server refused. */
-export const RETRY_AFTER_REFUSALS_S = 0.15
+export const MIN_RETRY_AFTER_S = 0.15
 /** Upper bound on the Retry-After of a request that cannot be served in time, in ms. */
-const LONGEST_COME_BACK_MS = 1_000
+const MAX_RETRY_AFTER_MS = 1_000
 /** Jitter of a Retry-After, as a part of it. */
-const RETURN_SPREAD = 0.25
+const RETRY_AFTER_JITTER = 0.25
 const MS_PER_S = 1_000
 
 /**
@@ -14,33 +14,33 @@
  * it should be served now. What surely cannot be served is refused at once, and leaves the engines to
  * those that can.
  */
-export function findComeBackSeconds(expectedMs: number, leftMs: number): number | undefined {
+export function findRetryAfterSeconds(expectedMs: number, leftMs: number): number | undefined {
   if (expectedMs <= leftMs) return undefined
-  const comeBackMs = Math.min(LONGEST_COME_BACK_MS, expectedMs - leftMs)
-  return Math.max(RETRY_AFTER_REFUSALS_S, comeBackMs / MS_PER_S)
+  const comeBackMs = Math.min(MAX_RETRY_AFTER_MS, expectedMs - leftMs)
+  return Math.max(MIN_RETRY_AFTER_S, comeBackMs / MS_PER_S)
 }
 
 /**
  * Draws after how many seconds a caller should come back that no server takes for so many ms. All would come back
  * together at the end of a rest otherwise.
  */
-export function drawReturnSeconds(retryAfterMs: number, random: RandomSource): number {
-  if (retryAfterMs <= 0) return RETRY_AFTER_REFUSALS_S
-  const spreadMs = Math.max(RETRY_AFTER_REFUSALS_S * MS_PER_S, retryAfterMs * RETURN_SPREAD)
+export function drawRetryAfterSeconds(retryAfterMs: number, random: RandomSource): number {
+  if (retryAfterMs <= 0) return MIN_RETRY_AFTER_S
+  const spreadMs = Math.max(MIN_RETRY_AFTER_S * MS_PER_S, retryAfterMs * RETRY_AFTER_JITTER)
   return Math.ceil(retryAfterMs + random.next() * spreadMs) / MS_PER_S
 }
 
 /** Creates the answer for a request whose outcome nobody knows. */
-export function createUnknownError(message: string): SpoolgateError {
+export function createOutcomeUnknownError(message: string): SpoolgateError {
   return new SpoolgateError('outcomeUnknown', message)
 }
 
 /** Creates the answer for a request that no server takes. */
-export function createRefusal(
+export function createUnavailableError(
   mayHaveRun: boolean,
-  retryAfterSeconds = RETRY_AFTER_REFUSALS_S,
+  retryAfterSeconds = MIN_RETRY_AFTER_S,
 ): SpoolgateError {
-  if (mayHaveRun) return createUnknownError('the backend server broke off')
+  if (mayHaveRun) return createOutcomeUnknownError('the backend server broke off')
   const message = 'no backend server takes it now; try again'
   return new SpoolgateError('noBackendServer', message, { retryAfterSeconds })
 }
@@ -60,6 +60,6 @@
     return new SpoolgateError('timedOut', 'no answer in time; it is not known whether it ran')
   }
   return new SpoolgateError('deadlineUnreachable', 'no backend server took it in time; try again', {
-    retryAfterSeconds: RETRY_AFTER_REFUSALS_S,
+    retryAfterSeconds: MIN_RETRY_AFTER_S,
   })
 }
--- a/packages/router/src/direct/requestQuarantine.ts
+++ b/packages/router/src/direct/requestQuarantine.ts
@@ -3,16 +3,16 @@
  * became of them: one such request, retried by its caller, can take a whole service down.
  */
 import {
-  ENDS_TO_QUARANTINE,
-  findHoldMs,
-  type BlameRecord,
+  CRASHES_TO_QUARANTINE,
+  findQuarantineMs,
+  type CrashReportBuffer,
   type SuspectedRequest,
 } from '@spoolgate/control'
 import type { BackendServerId, Logger, RequestFingerprint, TimerService } from '@spoolgate/core'
 
 /** Options of {@link createRequestQuarantine}. */
 export interface RequestQuarantineOptions {
-  readonly record: BlameRecord
+  readonly record: CrashReportBuffer
   readonly timers: TimerService
   readonly logger: Logger
 }
@@ -84,7 +84,7 @@
     return { kind: 'admitted', round, giveBack }
   }
   const refuse = (round: number): Refusal => {
-    const leftMs = Math.max(MIN_COME_BACK_MS, findHoldMs(round))
+    const leftMs = Math.max(MIN_COME_BACK_MS, findQuarantineMs(round))
     return { kind: 'refused', round, leftMs }
   }
   return {
@@ -97,7 +97,9 @@
         return refuse(round)
       }
       // Without a leader nobody else decides; one that has the report knows better.
-      return record.countUnreportedExits(request) >= ENDS_TO_QUARANTINE ? refuse(round) : ADMITTED
+      return record.countUnreportedExits(request) >= CRASHES_TO_QUARANTINE
+        ? refuse(round)
+        : ADMITTED
     },
     recordAnswered: (request) => {
       if (rounds.has(request)) record.addAnswered(request)
@@ -108,7 +110,11 @@
       const next = new Map(suspects.map(({ request, round }) => [request, round]))
       for (const [request, round] of next) {
         if (round > (rounds.get(request) ?? 0)) {
-          logger.warn('request.held', { fingerprint: request, round, holdMs: findHoldMs(round) })
+          logger.warn('request.held', {
+            fingerprint: request,
+            round,
+            holdMs: findQuarantineMs(round),
+          })
         }
       }
       for (const [request, round] of rounds) {
--- a/packages/router/src/direct/sendAdmission.ts
+++ b/packages/router/src/direct/sendAdmission.ts
@@ -3,8 +3,8 @@
 import type { CallPlan } from './callPlan.js'
 import type { Candidate } from './choice.js'
 import type { DirectParts } from './directParts.js'
-import { admitQuota } from './quotaRefusal.js'
-import { createQuarantineError, createRefusal } from './refusals.js'
+import { takeQuota } from './quotaRefusal.js'
+import { createQuarantineError, createUnavailableError } from './refusals.js'
 import { chooseSend, type SendsSoFar } from './sendChoice.js'
 
 /** What has become of a request so far. */
@@ -40,9 +40,9 @@
   // A request that may have run is not refused as one that has not.
   const refuse = (error: SpoolgateError): RefusedSend => ({
     kind: 'refused',
-    error: state.mayHaveRun ? createRefusal(true) : error,
+    error: state.mayHaveRun ? createUnavailableError(true) : error,
   })
-  const quota = await admitQuota(parts, plan)
+  const quota = await takeQuota(parts, plan)
   if (quota.refusal) {
     log('call.quotaReached', quota.refusal.fields)
     parts.instruments.quotaRefusals.add(1, { team: plan.team?.id ?? '' })
@@ -63,5 +63,5 @@
     return { kind: 'admitted', candidate: choice.candidate, round: held.round, giveBack }
   }
   giveBack()
-  return refuse(createRefusal(false, choice.retryAfterSeconds))
+  return refuse(createUnavailableError(false, choice.retryAfterSeconds))
 }
--- a/packages/router/src/direct/sendChoice.ts
+++ b/packages/router/src/direct/sendChoice.ts
@@ -3,7 +3,7 @@
 import { formatCallScope, type CallPlan } from './callPlan.js'
 import { LOADING_MS, rankServers, type Candidate } from './choice.js'
 import type { DirectParts } from './directParts.js'
-import { findComeBackSeconds, drawReturnSeconds } from './refusals.js'
+import { findRetryAfterSeconds, drawRetryAfterSeconds } from './refusals.js'
 import { formatChoice } from './sendRecord.js'
 import { judgeServer } from './serverVerdict.js'
 
@@ -46,7 +46,7 @@
 /** Finds after how many seconds it is worth coming back for a caller that no server takes now. */
 export function findReturnSeconds(parts: DirectParts, plan: CallPlan): number {
   const retryAfterMs = findOpenAt(parts, plan) - parts.timers.now()
-  return drawReturnSeconds(retryAfterMs, parts.random)
+  return drawRetryAfterSeconds(retryAfterMs, parts.random)
 }
 
 function createNoServer(parts: DirectParts, plan: CallPlan, log: CallLog): NoServer {
@@ -65,7 +65,7 @@
   log: CallLog,
 ): NoServer | undefined {
   const leftMs = plan.deadline - parts.timers.now()
-  const seconds = findComeBackSeconds(cost >= LOADING_MS ? Infinity : expectedMs, leftMs)
+  const seconds = findRetryAfterSeconds(cost >= LOADING_MS ? Infinity : expectedMs, leftMs)
   if (seconds === undefined) return undefined
   log('call.hopeless', { expectedMs, cost, leftMs, retryAfterSeconds: seconds })
   return { kind: 'none', retryAfterSeconds: seconds }
--- a/packages/router/src/direct/serveCall.ts
+++ b/packages/router/src/direct/serveCall.ts
@@ -15,8 +15,12 @@
 import type { DirectParts } from './directParts.js'
 import { waitForHead } from './headWait.js'
 import { CONNECT_MS } from './liveness.js'
-import { listStopInputs } from './plannedStop.js'
-import { createRefusal, createTimeoutError, createUnknownError } from './refusals.js'
+import { listRefusalFields } from './plannedStop.js'
+import {
+  createUnavailableError,
+  createTimeoutError,
+  createOutcomeUnknownError,
+} from './refusals.js'
 import {
   CALL_OUTCOMES,
   PROMISING_STATUSES,
@@ -30,7 +34,7 @@
 import { findReturnSeconds } from './sendChoice.js'
 import { buildSend, recordPrompt } from './sendRecord.js'
 import { startSend, type Send } from './sendOnce.js'
-import { watchSilence } from './serverRestarts.js'
+import { watchStall } from './serverRestarts.js'
 import type { CallTicket } from './serverBoard.js'
 
 /** Ends of sends that no server began. */
@@ -96,7 +100,7 @@
     const work = this.sendUntilAnswered().catch((cause) => {
       const reason = cause instanceof Error ? cause.message : String(cause)
       parts.logger.error('call.internalError', { request: plan.call.id, reason })
-      this.refuse(createUnknownError('an internal fault; report it with the request id'))
+      this.refuse(createOutcomeUnknownError('an internal fault; report it with the request id'))
     })
     await Promise.race([work, isDone])
     this.timeout.unsubscribe()
@@ -195,7 +199,7 @@
   private findStopRefusal(): SpoolgateError | undefined {
     if (this.sends === 0 || this.mayHaveRun) return undefined
     const refusal = this.parts.stop.findRefusal(this.plan)
-    if (refusal) this.log('call.notSentAgain', listStopInputs(refusal))
+    if (refusal) this.log('call.notSentAgain', listRefusalFields(refusal))
     return refusal
   }
 
@@ -236,7 +240,7 @@
   }
 
   private async sendTo(candidate: Candidate): Promise<SendEnd> {
-    const restarted = watchSilence({
+    const restarted = watchStall({
       restarts: this.parts.restarts,
       timers: this.parts.timers,
       server: candidate.server.id,
@@ -317,7 +321,7 @@
         this.excluded.add(candidate.server.id)
         return false
       case 'forbidden':
-        this.refuse(createRefusal(this.mayHaveRun))
+        this.refuse(createUnavailableError(this.mayHaveRun))
         return true
       case 'notRun':
         return this.settleNotRun(candidate, end)
@@ -334,7 +338,7 @@
     const isCorrected = (end.version ?? 0) > (version ?? Infinity)
     if (!isCorrected) this.excluded.add(server.id)
     if (this.parts.retries.take(this.plan.group.name)) return false
-    this.refuse(createRefusal(this.mayHaveRun, findReturnSeconds(this.parts, this.plan)))
+    this.refuse(createUnavailableError(this.mayHaveRun, findReturnSeconds(this.parts, this.plan)))
     return true
   }
 
@@ -343,7 +347,7 @@
     if (this.mayRepeat()) return false
     // A status that promises "not run" would be false for a request that ran.
     if (PROMISING_STATUSES.has(end.status)) {
-      this.refuse(createUnknownError('the backend server failed'))
+      this.refuse(createOutcomeUnknownError('the backend server failed'))
       return true
     }
     this.stop(`status${end.status}`)
@@ -354,7 +358,7 @@
   private settleLost(candidate: Candidate, reason: string): boolean {
     this.excluded.add(candidate.server.id)
     if (this.mayRepeat()) return false
-    this.refuse(createUnknownError(reason))
+    this.refuse(createOutcomeUnknownError(reason))
     return true
   }
 
--- a/packages/router/src/direct/serverExits.ts
+++ b/packages/router/src/direct/serverExits.ts
@@ -2,37 +2,37 @@
  * Which backend servers ended, as the sends show that broke off. A send breaks off for many reasons; that its server ended shows
  * when the server accepts no connections then, or has started again.
  */
-import type { BlamedSend, FleetView } from '@spoolgate/control'
+import type { InterruptedSend, FleetView } from '@spoolgate/control'
 import type { BackendServerId, Logger, TimerService } from '@spoolgate/core'
 import { LRUCache } from 'lru-cache'
 import type { Observable } from 'rxjs'
 import type { Liveness, ProbedServer } from './liveness.js'
 
-/** Options of {@link createServerExits}. */
-export interface ServerExitsOptions {
+/** Options of {@link createCrashDetector}. */
+export interface CrashDetectorOptions {
   readonly liveness: Pick<Liveness, 'checkAlive'>
   /** What the router knows of the fleet, after each change. */
   readonly views: Observable<Pick<FleetView, 'servers'>>
   readonly timers: TimerService
   readonly logger: Logger
   /** Called for each send that broke off with the end of its server. */
-  readonly onEnd: (server: BackendServerId, send: BlamedSend) => void
+  readonly onEnd: (server: BackendServerId, send: InterruptedSend) => void
 }
 
-/** See {@link createServerExits}. */
-export interface ServerExits {
+/** See {@link createCrashDetector}. */
+export interface CrashDetector {
   /** Notes a send that broke off. */
-  recordLost(server: ProbedServer, send: BlamedSend): void
+  recordLost(server: ProbedServer, send: InterruptedSend): void
   close(): void
 }
 
 /** Sends to one server that broke off while it is not known whether the server ended. */
-interface Doubt {
+interface CrashCheck {
   readonly server: ProbedServer
   /** Sends after which nobody has looked at the server yet. */
-  fresh: BlamedSend[]
+  fresh: InterruptedSend[]
   /** Sends after which the server accepted connections; it may have started again at once. */
-  older: readonly BlamedSend[]
+  older: readonly InterruptedSend[]
   isLooking: boolean
 }
 
@@ -40,17 +40,17 @@
  * Time for which a server that accepts connections may turn out to have restarted, in ms: routers learn of it after the
  * first heartbeat.
  */
-const DOUBT_MS = 3_000
+const RESTART_REPORT_MS = 3_000
 /** Servers that ended and are remembered: some for each of a large fleet. */
-const MAX_ENDED = 2_000
+const MAX_CRASHED = 2_000
 
 /** Creates the watch. */
-export function createServerExits(options: ServerExitsOptions): ServerExits {
+export function createCrashDetector(options: CrashDetectorOptions): CrashDetector {
   const { liveness, timers, logger, onEnd } = options
-  const ended = new LRUCache<BackendServerId, true>({ max: MAX_ENDED })
-  const doubts = new Map<BackendServerId, Doubt>()
+  const ended = new LRUCache<BackendServerId, true>({ max: MAX_CRASHED })
+  const doubts = new Map<BackendServerId, CrashCheck>()
 
-  const confirm = (doubt: Doubt, sends: readonly BlamedSend[], shownBy: string) => {
+  const confirm = (doubt: CrashCheck, sends: readonly InterruptedSend[], shownBy: string) => {
     const { id, address } = doubt.server
     doubts.delete(id)
     ended.set(id, true)
@@ -58,9 +58,9 @@
     for (const send of sends) onEnd(id, send)
   }
   /** Keeps what broke off for a while, in case that a restart is reported. */
-  const addOlder = (doubt: Doubt, sends: readonly BlamedSend[]) => {
+  const addOlder = (doubt: CrashCheck, sends: readonly InterruptedSend[]) => {
     doubt.older = [...doubt.older, ...sends]
-    timers.after(DOUBT_MS).subscribe(() => {
+    timers.after(RESTART_REPORT_MS).subscribe(() => {
       doubt.older = doubt.older.filter((send) => !sends.includes(send))
       const isOver = doubt.older.length + doubt.fresh.length === 0 && !doubt.isLooking
       if (isOver && doubts.get(doubt.server.id) === doubt) doubts.delete(doubt.server.id)
@@ -70,7 +70,7 @@
    * Looks at a server after each send that broke off. Answers break off without the end of their server as well, and
    * the next one may be the end: one look for all of them would take a server for alive that ended since.
    */
-  const look = async (doubt: Doubt) => {
+  const look = async (doubt: CrashCheck) => {
     const { server } = doubt
     if (doubt.isLooking) return
     doubt.isLooking = true
--- a/packages/router/src/direct/serverRestarts.ts
+++ b/packages/router/src/direct/serverRestarts.ts
@@ -12,8 +12,8 @@
 } from '@spoolgate/core'
 import { filter, map, of, Subject, switchMap, tap, type Observable, type Subscription } from 'rxjs'
 
-/** Options of {@link createServerRestarts}. */
-export interface ServerRestartsOptions {
+/** Options of {@link createRestartDetector}. */
+export interface RestartDetectorOptions {
   /** What the router knows of the fleet, after each change. */
   readonly views: Observable<Pick<FleetView, 'servers'>>
   readonly agent: Pick<KeepAliveAgent, 'closeIdle'>
@@ -22,23 +22,23 @@
   readonly onRestart?: (before: BackendServerId, after: BackendServerId) => void
 }
 
-/** See {@link createServerRestarts}. */
-export interface ServerRestarts {
+/** See {@link createRestartDetector}. */
+export interface RestartDetector {
   /** Emits once the server of an incarnation has started again. */
   watch(id: BackendServerId): Observable<void>
   close(): void
 }
 
-/** Options of {@link watchSilence}. */
-export interface SilenceWatchOptions {
-  readonly restarts: Pick<ServerRestarts, 'watch'>
+/** Options of {@link watchStall}. */
+export interface StallWatchOptions {
+  readonly restarts: Pick<RestartDetector, 'watch'>
   readonly timers: TimerService
   /** Incarnation that a call was sent to, as far as the router knows. */
   readonly server: BackendServerId
   /** When the last part of the answer came, in ms of the monotonic clock. */
   readonly lastSignAt: () => number
   readonly onRestart: () => void
-  /** Called when the call has been silent for {@link SILENT_MS} since its server started again. */
+  /** Called when the call has been silent for {@link STALL_TIMEOUT_MS} since its server started again. */
   readonly onSilent: () => void
 }
 
@@ -47,14 +47,14 @@
  * more than the pauses that streams are allowed, 400 to 500 on the users' deployments. Not at once, since a call may
  * be at the later start already: a router learns of that one only from control.
  */
-const SILENT_MS = 1_000
+const STALL_TIMEOUT_MS = 1_000
 
 /** Watches a call for the restart of its server, and for the silence that follows. */
-export function watchSilence(options: SilenceWatchOptions): Subscription {
+export function watchStall(options: StallWatchOptions): Subscription {
   const { restarts, timers, server, lastSignAt, onRestart, onSilent } = options
   const waitUntilSilent = (restartedAt: number): Observable<unknown> => {
     const silentSince = Math.max(restartedAt, lastSignAt())
-    const leftMs = silentSince + SILENT_MS - timers.now()
+    const leftMs = silentSince + STALL_TIMEOUT_MS - timers.now()
     return leftMs > 0
       ? timers.after(leftMs).pipe(switchMap(() => waitUntilSilent(restartedAt)))
       : of(undefined)
@@ -69,7 +69,7 @@
 }
 
 /** Creates the watch. */
-export function createServerRestarts(options: ServerRestartsOptions): ServerRestarts {
+export function createRestartDetector(options: RestartDetectorOptions): RestartDetector {
   const { agent, logger } = options
   const ended = new Subject<BackendServerId>()
   let known: ReadonlyMap<ServerName, RegisteredServer> = new Map()
--- a/packages/router/src/relay/relayParts.ts
+++ b/packages/router/src/relay/relayParts.ts
@@ -2,7 +2,7 @@
 import type { ConfigFollower, ControlClient } from '@spoolgate/control'
 import type { Counter, Histogram } from '@spoolgate/core'
 import type { Ejection, PolicyState, RetryBudget } from '@spoolgate/routing'
-import type { Decider } from '../decide/decisions.js'
+import type { ServerSelector } from '../decide/decisions.js'
 import type { DecisionLog } from '../decide/decisionLog.js'
 import type { TeamLimits } from '../limits/teamLimits.js'
 import type { AttemptParts } from './attempt.js'
@@ -22,7 +22,7 @@
 export interface RelayParts extends AttemptParts {
   readonly config: ConfigFollower
   readonly control: ControlClient
-  readonly decider: Decider
+  readonly decider: ServerSelector
   readonly decisions: DecisionLog
   readonly state: PolicyState
   readonly ejection: Ejection
--- a/packages/router/src/relay/relayRepeatable.ts
+++ b/packages/router/src/relay/relayRepeatable.ts
@@ -4,7 +4,7 @@
  */
 import { SpoolgateError, toAttemptNumber } from '@spoolgate/core'
 import type { CallHeader } from '@spoolgate/routing'
-import type { Decision } from '../decide/decisions.js'
+import type { RoutingDecision } from '../decide/decisions.js'
 import { runAttempt, type AttemptResult } from './attempt.js'
 import { buildCallHeader, type CallContext } from './callContext.js'
 import { DONE_MARKER, parseDelivered } from './continuation.js'
@@ -62,7 +62,7 @@
   parts: RelayParts,
   context: CallContext,
   state: RelayState,
-  decision: Decision,
+  decision: RoutingDecision,
 ): Promise<AttemptResult> {
   const fleet = parts.config.current()
   if (!fleet) throw new SpoolgateError('controlUnavailable', 'no configuration yet; try later')
@@ -124,7 +124,7 @@
   parts: RelayParts,
   context: CallContext,
   state: RelayState,
-  decision: Decision,
+  decision: RoutingDecision,
   result: AttemptResult,
 ): Promise<boolean> {
   const { server } = decision.chosen
--- a/packages/router/src/server/routerServer.ts
+++ b/packages/router/src/server/routerServer.ts
@@ -27,7 +27,7 @@
   createSubsetWidths,
   type PolicyState,
 } from '@spoolgate/routing'
-import { createDecider, type DeciderOptions } from '../decide/decisions.js'
+import { createServerSelector, type ServerSelectorOptions } from '../decide/decisions.js'
 import { createDecisionLog } from '../decide/decisionLog.js'
 import { createTeamLimits } from '../limits/teamLimits.js'
 import type { RelayParts, RouterInstruments } from '../relay/relayParts.js'
@@ -69,7 +69,7 @@
    * Full knowledge of the backend servers, for the oracle of benchmarks.
    * @default undefined
    */
-  readonly findTruth?: DeciderOptions['findTruth']
+  readonly findTruth?: ServerSelectorOptions['findTruth']
 }
 
 /** A running router. */
@@ -150,7 +150,7 @@
     invariants,
     config,
     control,
-    decider: createDecider({
+    decider: createServerSelector({
       hall: options.hall,
       region: options.region,
       state,
