--- a/packages/control/src/__tests__/requestBlame.spec.ts
+++ b/packages/control/src/__tests__/quarantineCoordinator.spec.ts
@@ -7,9 +7,9 @@
 } from '@spoolgate/core'
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { createCrashReportBuffer } from '../blame/blameRecord.js'
-import { createQuarantineCoordinator } from '../blame/blameSource.js'
-import { findQuarantineMs, type CrashReport } from '../blame/requestBlame.js'
+import { createCrashReportBuffer } from '../quarantine/crashReportBuffer.js'
+import { createQuarantineCoordinator } from '../quarantine/quarantineCoordinator.js'
+import { findQuarantineMs, type CrashReport } from '../quarantine/crashReport.js'
 import { createControlMachine } from '../state/controlMachine.js'
 import { createQuarantineState } from '../state/quarantineState.js'
 
--- a/packages/control/src/__tests__/tableProof.spec.ts
+++ b/packages/control/src/__tests__/tableProof.spec.ts
@@ -7,7 +7,7 @@
 import type { RoutingTable } from '@spoolgate/routing'
 import { expect } from 'chai'
 import { TABLE_PATH, type FeedReply, type FeedRequest } from '../registry/feed.js'
-import { createCrashReportBuffer } from '../blame/blameRecord.js'
+import { createCrashReportBuffer } from '../quarantine/crashReportBuffer.js'
 import { createFeedFollower } from '../registry/feedFollower.js'
 import { buildTableUpdate } from '../table/tableUpdate.js'
 import { NO_LIMITS, NO_QUOTAS } from './idleRecords.js'
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -59,14 +59,17 @@
 export { createLimitParts, type LimitParts } from './registry/limitParts.js'
 export { createControlMachine, type ControlMachine } from './state/controlMachine.js'
 export { createLoadSum, type LoadSum } from './registry/loadSum.js'
-export { createQuarantineCoordinator, type QuarantineCoordinator } from './blame/blameSource.js'
-export { createCrashReportBuffer, type CrashReportBuffer } from './blame/blameRecord.js'
+export {
+  createQuarantineCoordinator,
+  type QuarantineCoordinator,
+} from './quarantine/quarantineCoordinator.js'
+export { createCrashReportBuffer, type CrashReportBuffer } from './quarantine/crashReportBuffer.js'
 export {
   CRASHES_TO_QUARANTINE,
   findQuarantineMs,
   type InterruptedSend,
   type SuspectedRequest,
-} from './blame/requestBlame.js'
+} from './quarantine/crashReport.js'
 export type { FleetView } from './registry/heldFleet.js'
 export type { CacheCalls, CacheNews } from './registry/cacheWatch.js'
 export type { KeptPart } from './registry/keptParts.js'
--- a/packages/control/src/blame/blameRecord.ts
+++ b/packages/control/src/quarantine/crashReportBuffer.ts
@@ -3,7 +3,7 @@
  * is new receives all of it again.
  */
 import type { BackendServerId, RequestFingerprint, TimerService } from '@spoolgate/core'
-import type { InterruptedSend, CrashReport, CrashedServer } from './requestBlame.js'
+import type { InterruptedSend, CrashReport, CrashedServer } from './crashReport.js'
 
 /** A report with what it was built from. */
 export interface UnreportedOutcomes {
--- a/packages/control/src/blame/blameTally.ts
+++ b/packages/control/src/quarantine/crashTally.ts
@@ -4,7 +4,7 @@
  */
 import type { BackendServerId, RequestFingerprint, TimerService } from '@spoolgate/core'
 import { createFingerprintMap } from './fingerprintMap.js'
-import { CRASHES_TO_SUSPECT } from './requestBlame.js'
+import { CRASHES_TO_SUSPECT } from './crashReport.js'
 
 /** What speaks against a request. */
 export interface RequestCrashes {
--- a/packages/control/src/blame/fingerprintMap.ts
+++ b/packages/control/src/quarantine/fingerprintMap.ts
@@ -3,7 +3,7 @@
  * own and nobody else's.
  */
 import { removeOldest, type RequestFingerprint } from '@spoolgate/core'
-import { parseCallerHash } from './requestBlame.js'
+import { parseCallerHash } from './crashReport.js'
 
 /** Bounds of {@link createFingerprintMap}. */
 export interface FingerprintMapBounds {
--- a/packages/control/src/blame/blameSource.ts
+++ b/packages/control/src/quarantine/quarantineCoordinator.ts
@@ -11,15 +11,15 @@
   QuarantineState,
   ReleaseRequest,
 } from '../state/quarantineState.js'
-import { createCrashTally } from './blameTally.js'
-import { createTrialScheduler } from './blameTrials.js'
+import { createCrashTally } from './crashTally.js'
+import { createTrialScheduler } from './trialScheduler.js'
 import {
   CRASHES_TO_QUARANTINE,
   findQuarantineMs,
   type InterruptedSend,
   type CrashReport,
   type SuspectedRequest,
-} from './requestBlame.js'
+} from './crashReport.js'
 
 /** Options of {@link createQuarantineCoordinator}. */
 export interface QuarantineCoordinatorOptions {
--- a/packages/control/src/blame/blameTrials.ts
+++ b/packages/control/src/quarantine/trialScheduler.ts
@@ -5,7 +5,7 @@
 import type { RequestFingerprint, TimerService } from '@spoolgate/core'
 import { QUARANTINE_BOUNDS, type QuarantineState } from '../state/quarantineState.js'
 import { createFingerprintMap } from './fingerprintMap.js'
-import { findQuarantineMs } from './requestBlame.js'
+import { findQuarantineMs } from './crashReport.js'
 
 /** Options of {@link createTrialScheduler}. */
 export interface TrialSchedulerOptions {
--- a/packages/control/src/registry/feed.ts
+++ b/packages/control/src/registry/feed.ts
@@ -5,7 +5,7 @@
  * holds was the newest when it asked.
  */
 import type { BackendServerId, RequestFingerprint } from '@spoolgate/core'
-import type { CrashReport, SuspectedRequest } from '../blame/requestBlame.js'
+import type { CrashReport, SuspectedRequest } from '../quarantine/crashReport.js'
 import type { ServerNews } from './serverChanges.js'
 import type { TableUpdate } from '../table/tableUpdate.js'
 import type { QuotaGrants, QuotaReport } from './quotaCredits.js'
--- a/packages/control/src/registry/feedFollower.ts
+++ b/packages/control/src/registry/feedFollower.ts
@@ -12,8 +12,8 @@
 } from '@spoolgate/core'
 import type { RoutingTable } from '@spoolgate/routing'
 import { Subject, type Observable } from 'rxjs'
-import type { CrashReportBuffer, UnreportedOutcomes } from '../blame/blameRecord.js'
-import type { SuspectedRequest } from '../blame/requestBlame.js'
+import type { CrashReportBuffer, UnreportedOutcomes } from '../quarantine/crashReportBuffer.js'
+import type { SuspectedRequest } from '../quarantine/crashReport.js'
 import {
   FEED_PATH,
   type FeedReply,
--- a/packages/control/src/registry/feedSource.ts
+++ b/packages/control/src/registry/feedSource.ts
@@ -8,7 +8,7 @@
 } from '@spoolgate/core'
 import { filter, firstValueFrom, fromEvent, merge, race, share, type Observable } from 'rxjs'
 import type { ServerResponse } from 'node:http'
-import type { QuarantineCoordinator } from '../blame/blameSource.js'
+import type { QuarantineCoordinator } from '../quarantine/quarantineCoordinator.js'
 import type { RaftMember } from '../raft/types.js'
 import type { ControlMachine } from '../state/controlMachine.js'
 import {
--- a/packages/control/src/registry/registryControl.ts
+++ b/packages/control/src/registry/registryControl.ts
@@ -21,7 +21,7 @@
 } from '@spoolgate/core'
 import type { RoutingTable } from '@spoolgate/routing'
 import { merge, Subject } from 'rxjs'
-import { createQuarantineCoordinator } from '../blame/blameSource.js'
+import { createQuarantineCoordinator } from '../quarantine/quarantineCoordinator.js'
 import { createGroupKeeper, JOIN_PATH } from '../group/groupKeeper.js'
 import type { Joiner } from '../group/groupPlan.js'
 import { openIdentity } from '../group/identity.js'
--- a/packages/control/src/state/controlMachine.ts
+++ b/packages/control/src/state/controlMachine.ts
@@ -44,7 +44,7 @@
   type QuarantineState,
   type ReleaseRequest,
 } from './quarantineState.js'
-import type { SuspectedRequest } from '../blame/requestBlame.js'
+import type { SuspectedRequest } from '../quarantine/crashReport.js'
 import {
   createServerState,
   type ObserveServer,
--- a/packages/control/src/state/quarantineState.ts
+++ b/packages/control/src/state/quarantineState.ts
@@ -3,8 +3,8 @@
  * routers and leaders, to which a request that comes again would else be new.
  */
 import type { RequestFingerprint } from '@spoolgate/core'
-import { createFingerprintMap } from '../blame/fingerprintMap.js'
-import type { SuspectedRequest } from '../blame/requestBlame.js'
+import { createFingerprintMap } from '../quarantine/fingerprintMap.js'
+import type { SuspectedRequest } from '../quarantine/crashReport.js'
 
 /** Puts a request into quarantine, or into the next round of it. */
 export interface QuarantineRequest extends SuspectedRequest {
--- a/packages/router/src/__tests__/serverExits.spec.ts
+++ b/packages/router/src/__tests__/crashDetector.spec.ts
@@ -8,7 +8,7 @@
 } from '@spoolgate/core'
 import { expect } from 'chai'
 import { Subject } from 'rxjs'
-import { createCrashDetector } from '../direct/serverExits.js'
+import { createCrashDetector } from '../direct/crashDetector.js'
 
 const SEND = { request: toRequestFingerprint('c.1'), round: 0 }
 const SERVER = { id: toBackendServerId('s@1'), address: '10.0.0.1:80' }
--- a/packages/router/src/__tests__/refusals.spec.ts
+++ b/packages/router/src/__tests__/errorResponses.spec.ts
@@ -5,7 +5,7 @@
   createUnavailableError,
   createTimeoutError,
   findRetryAfterSeconds,
-} from '../direct/refusals.js'
+} from '../direct/errorResponses.js'
 
 describe('refusals', () => {
   it('promise that nothing ran only where nothing can have run', () => {
--- a/packages/router/src/__tests__/plannedStop.spec.ts
+++ b/packages/router/src/__tests__/gracefulShutdown.spec.ts
@@ -14,7 +14,7 @@
   createGracefulShutdown,
   listRefusalFields,
   type GracefulShutdown,
-} from '../direct/plannedStop.js'
+} from '../direct/gracefulShutdown.js'
 
 const DRAIN_MS = 8_000
 
--- a/packages/router/src/__tests__/blameSimulation.spec.ts
+++ b/packages/router/src/__tests__/quarantineSimulation.spec.ts
@@ -9,7 +9,7 @@
   runQuarantineSimulation,
   type QuarantineSimulationOptions,
   type KindCount,
-} from './blameSimulation.js'
+} from './quarantineSimulation.js'
 
 const SENDS_ALLOWED = 3
 const SHARE_ANSWERED = 0.97
--- a/packages/router/src/__tests__/serverRestarts.spec.ts
+++ b/packages/router/src/__tests__/restartDetector.spec.ts
@@ -2,7 +2,7 @@
 import { createLogger, createManualTimerService, toServerName } from '@spoolgate/core'
 import { expect } from 'chai'
 import { Subject } from 'rxjs'
-import { createRestartDetector, watchStall } from '../direct/serverRestarts.js'
+import { createRestartDetector, watchStall } from '../direct/restartDetector.js'
 
 function buildServer(name: string, startedAt: number | undefined, address: string) {
   return { ...buildServerIdentity(toServerName(name), startedAt), address } as RegisteredServer
--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -33,7 +33,11 @@
 import type { DirectInstruments, DirectParts } from './directParts.js'
 import { createLiveness, openProbe } from './liveness.js'
 import { createPartMemory } from './partMemory.js'
-import { createGracefulShutdown, listRefusalFields, type TrackedRequest } from './plannedStop.js'
+import {
+  createGracefulShutdown,
+  listRefusalFields,
+  type TrackedRequest,
+} from './gracefulShutdown.js'
 import { createRequestQuarantine } from './requestQuarantine.js'
 import { createRetryShare, type RetryBounds } from './retryShare.js'
 import { createQuotaAdmission } from '../limits/quotaAdmission.js'
@@ -41,8 +45,8 @@
 import { createServerLimits } from '../limits/serverLimits.js'
 import { addBackoffs } from './answerSignals.js'
 import { createServerBoard } from './serverBoard.js'
-import { createCrashDetector } from './serverExits.js'
-import { createRestartDetector } from './serverRestarts.js'
+import { createCrashDetector } from './crashDetector.js'
+import { createRestartDetector } from './restartDetector.js'
 import { serveCall } from './serveCall.js'
 import { createWorkSplit } from './workSplit.js'
 import { createWorkTimes } from './workTimes.js'
--- a/packages/router/src/direct/sendAdmission.ts
+++ b/packages/router/src/direct/sendAdmission.ts
@@ -3,8 +3,8 @@
 import type { CallPlan } from './callPlan.js'
 import type { Candidate } from './choice.js'
 import type { DirectParts } from './directParts.js'
-import { takeQuota } from './quotaRefusal.js'
-import { createQuarantineError, createUnavailableError } from './refusals.js'
+import { takeQuota } from './sendQuota.js'
+import { createQuarantineError, createUnavailableError } from './errorResponses.js'
 import { chooseSend, type SendsSoFar } from './sendChoice.js'
 
 /** What has become of a request so far. */
--- a/packages/router/src/direct/sendChoice.ts
+++ b/packages/router/src/direct/sendChoice.ts
@@ -3,7 +3,7 @@
 import { formatCallScope, type CallPlan } from './callPlan.js'
 import { LOADING_MS, rankServers, type Candidate } from './choice.js'
 import type { DirectParts } from './directParts.js'
-import { findRetryAfterSeconds, drawRetryAfterSeconds } from './refusals.js'
+import { findRetryAfterSeconds, drawRetryAfterSeconds } from './errorResponses.js'
 import { formatChoice } from './sendRecord.js'
 import { judgeServer } from './serverVerdict.js'
 
--- a/packages/router/src/direct/quotaRefusal.ts
+++ b/packages/router/src/direct/sendQuota.ts
@@ -4,7 +4,7 @@
 import type { CallPlan } from './callPlan.js'
 import type { DirectCall } from './dialects.js'
 import type { DirectParts } from './directParts.js'
-import { drawRetryAfterSeconds } from './refusals.js'
+import { drawRetryAfterSeconds } from './errorResponses.js'
 
 /** A refusal with the figures that decided it. */
 export interface QuotaRefusal {
--- a/packages/router/src/direct/serveCall.ts
+++ b/packages/router/src/direct/serveCall.ts
@@ -15,12 +15,12 @@
 import type { DirectParts } from './directParts.js'
 import { waitForHead } from './headWait.js'
 import { CONNECT_MS } from './liveness.js'
-import { listRefusalFields } from './plannedStop.js'
+import { listRefusalFields } from './gracefulShutdown.js'
 import {
   createUnavailableError,
   createTimeoutError,
   createOutcomeUnknownError,
-} from './refusals.js'
+} from './errorResponses.js'
 import {
   CALL_OUTCOMES,
   PROMISING_STATUSES,
@@ -34,7 +34,7 @@
 import { findReturnSeconds } from './sendChoice.js'
 import { buildSend, recordPrompt } from './sendRecord.js'
 import { startSend, type Send } from './sendOnce.js'
-import { watchStall } from './serverRestarts.js'
+import { watchStall } from './restartDetector.js'
 import type { CallTicket } from './serverBoard.js'
 
 /** Ends of sends that no server began. */
--- a/packages/router/src/relay/declines.ts
+++ b/packages/router/src/relay/declines.ts
@@ -1,7 +1,7 @@
 /** The choice of a backend server, and what a router does when its sidecar declined the call. */
 import type { BackendServer, Fleet } from '@spoolgate/config'
 import { type BackendServerId, SpoolgateError } from '@spoolgate/core'
-import type { RoutingDecision } from '../decide/decisions.js'
+import type { RoutingDecision } from '../decide/serverSelector.js'
 import type { AttemptResult } from './attempt.js'
 import type { CallContext } from './callContext.js'
 import type { RelayParts } from './relayParts.js'
--- a/packages/router/src/relay/relayParts.ts
+++ b/packages/router/src/relay/relayParts.ts
@@ -2,7 +2,7 @@
 import type { ConfigFollower, ControlClient } from '@spoolgate/control'
 import type { Counter, Histogram } from '@spoolgate/core'
 import type { Ejection, PolicyState, RetryBudget } from '@spoolgate/routing'
-import type { ServerSelector } from '../decide/decisions.js'
+import type { ServerSelector } from '../decide/serverSelector.js'
 import type { DecisionLog } from '../decide/decisionLog.js'
 import type { TeamLimits } from '../limits/teamLimits.js'
 import type { AttemptParts } from './attempt.js'
--- a/packages/router/src/relay/relayRepeatable.ts
+++ b/packages/router/src/relay/relayRepeatable.ts
@@ -4,7 +4,7 @@
  */
 import { SpoolgateError, toAttemptNumber } from '@spoolgate/core'
 import type { CallHeader } from '@spoolgate/routing'
-import type { RoutingDecision } from '../decide/decisions.js'
+import type { RoutingDecision } from '../decide/serverSelector.js'
 import { runAttempt, type AttemptResult } from './attempt.js'
 import { buildCallHeader, type CallContext } from './callContext.js'
 import { DONE_MARKER, parseDelivered } from './continuation.js'
--- a/packages/router/src/server/routerServer.ts
+++ b/packages/router/src/server/routerServer.ts
@@ -27,7 +27,7 @@
   createSubsetWidths,
   type PolicyState,
 } from '@spoolgate/routing'
-import { createServerSelector, type ServerSelectorOptions } from '../decide/decisions.js'
+import { createServerSelector, type ServerSelectorOptions } from '../decide/serverSelector.js'
 import { createDecisionLog } from '../decide/decisionLog.js'
 import { createTeamLimits } from '../limits/teamLimits.js'
 import type { RelayParts, RouterInstruments } from '../relay/relayParts.js'
