--- a/packages/control/src/quarantine/crashReportBuffer.ts
+++ b/packages/control/src/quarantine/crashReportBuffer.ts
@@ -1,11 +1,11 @@
 /**
- * What a router knows of requests under which servers ended, until control has taken it, and for a while beyond: a leader that
- * is new receives all of it again.
+ * Buffers the crash reports of a router until the control leader has received them, and for a while afterwards: a new
+ * leader receives all of them again.
  */
 import type { BackendServerId, RequestFingerprint, TimerService } from '@spoolgate/core'
 import type { InterruptedSend, CrashReport, CrashedServer } from './crashReport.js'
 
-/** A report with what it was built from. */
+/** A report and the outcomes that it was built from. */
 export interface UnreportedOutcomes {
   readonly report: CrashReport
   readonly facts: readonly RequestOutcome[]
@@ -14,30 +14,30 @@
 /** See {@link createCrashReportBuffer}. */
 export interface CrashReportBuffer {
   addEnd(server: BackendServerId, send: InterruptedSend): void
-  /** Notes that a suspected request was answered; what speaks against it is forgotten. */
+  /** Records that a suspected request was answered, and discards its crashes. */
   addAnswered(request: RequestFingerprint): void
-  /** Notes that a request in quarantine was refused. */
+  /** Records that a quarantined request was rejected. */
   addAsked(request: RequestFingerprint): void
-  /** Notes that a request which might have been tried was not. */
+  /** Records that the trial granted for a request went unused. */
   addUntried(request: RequestFingerprint): void
-  /** Forgets what speaks against a request that control no longer suspects. */
+  /** Discards the crashes recorded for a request that control no longer suspects. */
   removeEnds(request: RequestFingerprint): void
-  /** Counts the servers that ended under a request, as far as they were not reported to a leader yet. */
+  /** Counts the servers that crashed under a request and were not reported to any leader yet. */
   countUnreportedExits(request: RequestFingerprint): number
-  /** Lists what was not reported to the leader of a term. */
+  /** Builds the report of everything that was not reported to the leader of the given term. */
   listUnreported(term: number): UnreportedOutcomes
-  /** Records that it was reported to the leader of a term. */
+  /** Records that the leader of the given term has received the report. */
   recordReported(unreported: UnreportedOutcomes, term: number): void
 }
 
 interface OutcomeBase {
   readonly request: RequestFingerprint
   readonly at: number
-  /** Term whose leader has the report; undefined before. */
+  /** Term of the leader that last received the outcome; undefined if none did. */
   reportedTerm: number | undefined
 }
 
-/** One thing that a router knows. */
+/** An outcome of a request, as observed by the router. */
 export type RequestOutcome =
   | (OutcomeBase & {
       readonly kind: 'ended'
@@ -46,12 +46,12 @@
     })
   | (OutcomeBase & { readonly kind: 'answered' })
 
-/** Time for which it is reported to a new leader again, in ms: an election takes a second, a majority that is away some more. */
+/** How long outcomes are kept for a new leader, in ms: an election takes a second, restoring a lost majority longer. */
 const RETENTION_MS = 60_000
-/** Facts that are kept, the newest: a router of the users has 75 requests in flight when all engines end at once. */
+/** Maximum number of outcomes kept, the newest: a production router has 75 requests in flight if all engines crash at once. */
 const MAX_OUTCOMES = 1_000
 
-/** Rejected requests in one report: as many as a caller may have in quarantine. */
+/** Maximum number of rejected requests per report: as many as one caller may have in quarantine. */
 const MAX_REFUSED = 64
 
 const NOTHING_UNREPORTED: UnreportedOutcomes = {
@@ -78,10 +78,10 @@
   }
 }
 
-/** Creates an empty record. */
+/** Creates an empty buffer. */
 export function createCrashReportBuffer(timers: TimerService): CrashReportBuffer {
   let facts: readonly RequestOutcome[] = []
-  /** Requests that were refused since the last report, with how often. */
+  /** Number of rejections per quarantined request since the last report. */
   const asked = new Map<RequestFingerprint, number>()
   const untried = new Set<RequestFingerprint>()
 
@@ -126,14 +126,14 @@
       removeOld()
       const unreported = facts.filter(({ reportedTerm }) => reportedTerm !== term)
       const report = buildReport(unreported, asked, untried)
-      // A lost report is retransmitted with the next one.
+      // Not restored if the report is lost: unlike outcomes, these are reported at most once.
       asked.clear()
       untried.clear()
       return { report, facts: unreported }
     },
     recordReported: ({ facts: reported }, term) => {
       for (const fact of reported) fact.reportedTerm = term
-      // That a request was answered is reported once: a later end would be forgotten with it.
+      // Answers are reported only once: reporting them again would discard crashes that happened later.
       facts = facts.filter((fact) => fact.kind !== 'answered' || fact.reportedTerm === undefined)
     },
   }
--- a/packages/control/src/quarantine/crashTally.ts
+++ b/packages/control/src/quarantine/crashTally.ts
@@ -1,42 +1,42 @@
 /**
- * Counts the servers that ended under each request, as routers report them. It holds what does not suffice for a quarantine yet; after a
- * change of the leader routers report theirs again.
+ * Counts the servers that crashed under each request, as reported by routers, until there are enough for a quarantine. It
+ * is not replicated: after a leader change routers report their crashes again.
  */
 import type { BackendServerId, RequestFingerprint, TimerService } from '@spoolgate/core'
 import { createFingerprintMap } from './fingerprintMap.js'
 import { CRASHES_TO_SUSPECT } from './crashReport.js'
 
-/** What speaks against a request. */
+/** Crashes under one request. */
 export interface RequestCrashes {
-  /** Servers that ended under it. */
+  /** Servers that crashed under the request. */
   readonly servers: ReadonlySet<BackendServerId>
-  /** When the last of them ended, in ms of the monotonic clock. */
+  /** When the last crash was reported, in ms of the monotonic clock. */
   readonly lastEndAt: number
 }
 
 /** See {@link createCrashTally}. */
 export interface CrashTally {
-  /** Counts the end of a server under a request, once. */
+  /** Counts the crash of a server under a request, at most once. */
   addEnd(request: RequestFingerprint, server: BackendServerId): RequestCrashes
   remove(request: RequestFingerprint): void
-  /** Lists the requests that routers should know of. */
+  /** Lists the suspected requests, which are reported to routers. */
   listSuspects(): readonly RequestFingerprint[]
-  /** Rises with each change of that list. */
+  /** Increases with each change of that list. */
   revision(): number
-  /** Forgets everything, as a new leader must. */
+  /** Discards all counts, as a new leader must. */
   reset(): void
 }
 
 /**
- * Requests that are kept: of each caller, and callers. An engine of the users' runs 64 at a time, and four that end together leave
- * 256 behind; all together take 20 MB at 150 bytes each.
+ * Limits on the requests per caller and on the callers. A production engine runs 64 requests at a time, so four engines
+ * that crash together leave 256; a full tally takes 20 MB at 150 bytes per request.
  */
 const TALLY_BOUNDS = { maxPerCaller: 256, maxCallers: 512 }
 
-/** Time without an end after which what was counted no longer speaks against a request, in ms. */
+/** Time after the last crash under a request until its count is reset, in ms. */
 const CRASH_RETENTION_MS = 3_600_000
 
-/** Creates a tally without ends. */
+/** Creates an empty tally. */
 export function createCrashTally(timers: TimerService): CrashTally {
   const suspicions = createFingerprintMap<RequestCrashes>(TALLY_BOUNDS)
   let revision = 0
--- a/packages/control/src/quarantine/fingerprintMap.ts
+++ b/packages/control/src/quarantine/fingerprintMap.ts
@@ -1,6 +1,6 @@
 /**
- * A bounded map by fingerprint. Each caller has its own bound, so that one that sends many harmful requests pushes out its
- * own and nobody else's.
+ * A bounded map keyed by request fingerprint. Entries are bounded per caller, so that a caller that sends many harmful
+ * requests evicts only its own entries.
  */
 import { removeOldest, type RequestFingerprint } from '@spoolgate/core'
 import { parseCallerHash } from './crashReport.js'
@@ -14,15 +14,15 @@
 /** See {@link createFingerprintMap}. */
 export interface FingerprintMap<Value> {
   find(request: RequestFingerprint): Value | undefined
-  /** Sets a value; the caller's oldest gives way, or all of the caller that was set last the longest ago. */
+  /** Sets a value. Evicts the oldest entry of the caller, or all entries of the least recently updated caller. */
   add(request: RequestFingerprint, value: Value): void
-  /** False where it was not there. */
+  /** Removes a value; returns false if there was none. */
   remove(request: RequestFingerprint): boolean
   list(): (readonly [RequestFingerprint, Value])[]
   clear(): void
 }
 
-/** Sets an entry as the newest of a map and removes the oldest beyond a number. */
+/** Sets an entry as the newest of a map, and removes the oldest entries above `most`. */
 function addNewest<Key, Value>(map: Map<Key, Value>, key: Key, value: Value, most: number): void {
   map.delete(key)
   map.set(key, value)
--- a/packages/control/src/quarantine/quarantineCoordinator.ts
+++ b/packages/control/src/quarantine/quarantineCoordinator.ts
@@ -1,7 +1,7 @@
 /**
- * The leader's judgement of requests under which servers end: it sums up what routers report, puts requests into quarantine in
- * the replicated state, and says what routers should know. One place counts for all, since each router alone would let
- * as many servers end.
+ * Quarantine decisions of the leader: aggregates the crash reports of all routers, quarantines requests in the replicated
+ * state, and lists the suspected and quarantined requests for routers. Crashes are counted centrally because routers that
+ * count on their own would each allow the full number of crashes.
  */
 import type { BackendServerId, Logger, RequestFingerprint, TimerService } from '@spoolgate/core'
 import { Subject, type Observable } from 'rxjs'
@@ -32,20 +32,21 @@
 /** See {@link createQuarantineCoordinator}. */
 export interface QuarantineCoordinator {
   /**
-   * Takes what a router reports, and says which request in quarantine it may send once; for the leader only.
+   * Processes the report of a router, and returns the quarantined request that the router may send once as a trial.
+   * Called on the leader only.
    */
   record(report: CrashReport): RequestFingerprint | undefined
-  /** Lists what routers should know: requests in quarantine and suspects. */
+  /** Lists the quarantined and the suspected requests for routers. */
   list(): readonly SuspectedRequest[]
-  /** Rises with each change of that list. */
+  /** Increases with each change of that list. */
   revision(): number
-  /** Emits when a router changed the list; changes of the replicated state are emitted there. */
+  /** Emits when a report changes the list; changes of the replicated state are emitted by the state itself. */
   readonly changes: Observable<void>
 }
 
 type QuarantineCommand = QuarantineRequest | ReleaseRequest
 
-/** Creates the source. */
+/** Creates a coordinator. */
 export function createQuarantineCoordinator(
   options: QuarantineCoordinatorOptions,
 ): QuarantineCoordinator {
@@ -53,12 +54,12 @@
   const tally = createCrashTally(options.timers)
   const trials = createTrialScheduler(options)
   const changes = new Subject<void>()
-  /** What is to be put into the log, by request; it stays here until it is there. */
+  /** Commands by request that are not committed yet; failed proposals are retried with the next report. */
   const wanted = new Map<RequestFingerprint, QuarantineCommand>()
   const proposing = new Set<QuarantineCommand>()
   let knownTerm: number | undefined
 
-  /** Routers report all that they know to a new leader. */
+  /** Discards the state of an earlier term: routers report everything again to a new leader. */
   const resetForTerm = () => {
     const { term } = member.status()
     if (term !== knownTerm) {
@@ -74,7 +75,7 @@
     try {
       await member.propose(command)
       if (wanted.get(request) === command) wanted.delete(request)
-      // From here on only an end of the next round counts, which the replicated state reports.
+      // From now on only crashes in the next round count, and that round comes from the replicated state.
       tally.remove(request)
       changes.next()
     } catch (cause) {
@@ -100,7 +101,7 @@
   }
   const recordEnd = ({ request, round }: InterruptedSend, server: BackendServerId) => {
     const held = quarantine.find(request)
-    // What was sent before the router knew of the quarantine says nothing that led to it.
+    // Ignores sends from before the router knew of the current quarantine round.
     if (round !== (held?.round ?? 0)) return
     if (held) return wantQuarantine(request, round + 1, [server])
     const { servers } = tally.addEnd(request, server)
--- a/packages/control/src/quarantine/trialScheduler.ts
+++ b/packages/control/src/quarantine/trialScheduler.ts
@@ -1,6 +1,6 @@
 /**
- * Trials of requests in quarantine: one send of one request by one router at a time, so that a harmful one ends one server more and not
- * one for each router, and its end is not put down to another that is tried beside it.
+ * Schedules the trials of quarantined requests: one send of one request by one router at a time. A harmful request thus
+ * crashes one more server instead of one per router, and the crash is not attributed to another request on trial.
  */
 import type { RequestFingerprint, TimerService } from '@spoolgate/core'
 import { QUARANTINE_BOUNDS, type QuarantineState } from '../state/quarantineState.js'
@@ -15,31 +15,31 @@
 
 /** See {@link createTrialScheduler}. */
 export interface TrialScheduler {
-  /** Notes that a router did not try what it might have tried. */
+  /** Records that a router did not use the trial that it was granted. */
   recordUntried(request: RequestFingerprint): void
-  /** Forgets a request that was answered: its next quarantine is another one. */
+  /** Discards the state of a request that was answered, so that its next quarantine starts afresh. */
   remove(request: RequestFingerprint): void
-  /** Forgets everything, as a new leader must. */
+  /** Discards all state, as a new leader must. */
   reset(): void
-  /** Chooses which of the requests that a router was asked for it may send once; undefined for none. */
+  /** Chooses which of the requests that a router has rejected it may send once; undefined for none. */
   choose(asked: readonly RequestFingerprint[]): RequestFingerprint | undefined
 }
 
-/** A round of a request in quarantine. */
+/** State of a quarantined request in its current round. */
 interface QuarantineRound {
   readonly round: number
-  /** When a router was first asked for it, in ms of the monotonic clock. */
+  /** When a router first reported the request in this round, in ms of the monotonic clock. */
   readonly since: number
-  /** When it was last tried; -Infinity for never. */
+  /** When a trial was last granted; -Infinity for never. */
   triedAt: number
 }
 
-/** Time for which nothing else is tried, in ms: twice as long as a router keeps a trial that nobody asks for. */
+/** Time during which no other trial is granted, in ms: twice as long as a router keeps an unused trial. */
 const TRIAL_TIMEOUT_MS = 4_000
-/** Time after which a trial without a result is made again, in ms: above the deadlines of the users' callers. */
+/** Time after which a trial without a result is repeated, in ms: longer than the deadlines of callers in production. */
 const TRIAL_RETRY_MS = 20_000
 
-/** Creates trials, none of them in progress. */
+/** Creates a scheduler without trials. */
 export function createTrialScheduler({
   quarantine,
   timers,
--- a/packages/router/src/decide/decisionLog.ts
+++ b/packages/router/src/decide/decisionLog.ts
@@ -1,15 +1,15 @@
-/** The record of decisions: one log line each, and a memory that `spoolgate explain` reads. */
+/** Log of routing decisions: writes one log line each, and keeps recent ones in memory for `spoolgate explain`. */
 import type { BackendServerId, ConfigVersion, Logger, RequestId, TeamId } from '@spoolgate/core'
 import type { PolicyName } from '@spoolgate/config'
 
-/** A candidate as it was weighed. */
+/** A candidate with its score. */
 export interface ScoredCandidate {
   readonly server: BackendServerId
   readonly score: number
   readonly reason: string
 }
 
-/** One decision. */
+/** A routing decision. */
 export interface DecisionRecord {
   readonly team: TeamId
   readonly policy: PolicyName
@@ -18,20 +18,20 @@
   readonly target: string
   readonly promptTokens: number
   readonly chosen: BackendServerId
-  /** The best few, in order. */
+  /** The best candidates, best first. */
   readonly candidates: readonly ScoredCandidate[]
 }
 
-/** What an attempt came to, in words for a person. */
+/** Outcome of an attempt, in human-readable form. */
 export interface AttemptRecord {
   readonly server: BackendServerId
   readonly outcome: string
   readonly reason?: string
-  /** Prompt tokens found in the cache, as the sidecar said when it claimed the call. */
+  /** Prompt tokens found in the cache, as reported by the sidecar when it claimed the call. */
   readonly matchedTokens?: number
 }
 
-/** Everything about one request. */
+/** Decisions, attempts and outcome of one request. */
 export interface RequestRecord {
   readonly request: RequestId
   readonly steps: ({ readonly decision: DecisionRecord } | { readonly attempt: AttemptRecord })[]
@@ -39,7 +39,7 @@
   firstTokenMs?: number
 }
 
-/** Record of decisions. */
+/** Log of routing decisions; see {@link createDecisionLog}. */
 export interface DecisionLog {
   recordDecision(request: RequestId, decision: DecisionRecord): void
   recordAttempt(request: RequestId, attempt: AttemptRecord): void
@@ -47,7 +47,7 @@
   find(request: RequestId): RequestRecord | undefined
 }
 
-/** Requests that are remembered: a few minutes at 13 requests a second, about 1 kB each. */
+/** Maximum number of requests kept: about 6 minutes at 13 requests per second, at about 1 kB each. */
 const MAX_REMEMBERED = 5_000
 
 function formatCandidates(candidates: readonly ScoredCandidate[]): string {
@@ -56,7 +56,7 @@
     .join(';')
 }
 
-/** Creates an empty record. */
+/** Creates an empty decision log. */
 export function createDecisionLog(logger: Logger): DecisionLog {
   const records = new Map<RequestId, RequestRecord>()
   const findOrAdd = (request: RequestId): RequestRecord => {
--- a/packages/router/src/decide/serverSelector.ts
+++ b/packages/router/src/decide/serverSelector.ts
@@ -1,4 +1,4 @@
-/** Decisions of a router: which backend servers to try, in which order, and why. */
+/** Server selection: which backend servers the router tries, in which order, and why. */
 import type { BackendServer, Fleet, PolicyName, TeamParameters } from '@spoolgate/config'
 import {
   INTERNAL_BODY_LIMITS,
@@ -39,13 +39,13 @@
   readonly metrics: Metrics
   readonly decisions: DecisionLog
   /**
-   * Full knowledge of a backend server, for the oracle of benchmarks.
-   * @default undefined, hints only
+   * Returns the exact state of a backend server; used by the oracle arm of benchmarks.
+   * @default undefined, which ranks by hints only
    */
   readonly findTruth?: (server: BackendServerId, chain: PrefixChain) => ReplyHints | undefined
 }
 
-/** What a decision is about. */
+/** Input of a selection. */
 export interface SelectionRequest {
   readonly request: RequestId
   readonly team: TeamId
@@ -54,48 +54,48 @@
   /** Model or group. */
   readonly target: string
   readonly chain: PrefixChain
-  /** Weights that may answer; undefined for plain services. */
+  /** Version of the weights that must answer; undefined for plain services. */
   readonly weightsVersion: WeightsVersion | undefined
-  /** Keeps the requests of one session on one policy. */
+  /** Session key, which keeps the requests of one session on one policy. */
   readonly session: string
   readonly excluded: ReadonlySet<BackendServerId>
 }
 
-/** A choice. */
+/** The selected server. */
 export interface RoutingDecision {
   readonly chosen: RankedCandidate
   readonly policy: PolicyName
-  /** Time to the first token up to which the choice stays the best one; undefined for any, in ms. */
+  /** Maximum time to the first token at which this choice remains the best, in ms; undefined for no limit. */
   readonly acceptMs: number | undefined
 }
 
-/** Makes decisions. */
+/** Selects backend servers; see {@link createServerSelector}. */
 export interface ServerSelector {
   /** Chooses the backend server to try next; undefined when none is left. */
   choose(request: SelectionRequest): Promise<RoutingDecision | undefined>
-  /** Finds the policy arm of a session. */
+  /** Returns the policy assigned to a session. */
   findPolicy(request: Pick<SelectionRequest, 'parameters' | 'session'>): PolicyName
 }
 
-/** One-way distances that the score assumes, in ms. */
+/** One-way network latencies assumed by the score, in ms. */
 const SAME_HALL_MS = 0.2
 const SAME_REGION_MS = 1.2
 const OTHER_REGION_MS = 25
 const PROBE_TIMEOUT_MS = 500
-/** Largest fleet of one model in which doubt is settled by probes; the bytes forbid it above. */
+/** Largest fleet per model in which uncertain choices are probed; above it probes would cost too much bandwidth. */
 const MAX_PROBED_FLEET = 24
-/** Candidates that a log line names. */
+/** Maximum number of candidates per log line. */
 const LOGGED_CANDIDATES = 4
-/** Levels that a table made for one decision holds; the usual size takes 20 ms to set up. */
+/** Levels of a hint table created for one decision; a table of the default size takes 20 ms to set up. */
 const TRUTH_LEVELS = 64
-/** Error of an estimate that is not worth another hop, in ms. */
+/** Estimation error that does not justify another hop, in ms. */
 const ACCEPT_TOLERANCE_MS = 30
 const MIN_TAIL_WEIGHT = 0.1
 const ARM_RESOLUTION = 10_000
 
 /**
- * Finds how wrong the estimate of the best candidate may be before the second is better. Policies
- * without an estimate set no bound.
+ * Returns the time to the first token above which the second candidate is better than the first, in ms; undefined for
+ * policies without an estimate.
  */
 function findAcceptMs(ranked: readonly RankedCandidate[], tailWeight: number): number | undefined {
   const [first, second] = ranked
@@ -104,7 +104,7 @@
   return first.firstTokenMs + lead + ACCEPT_TOLERANCE_MS
 }
 
-/** Creates a decider. */
+/** Creates a server selector. */
 export function createServerSelector(options: ServerSelectorOptions): ServerSelector {
   const { state, ejection, timers, random, client } = options
   const probes = options.metrics.counter('probes', 'Probes sent before a choice')
@@ -134,8 +134,8 @@
     }
     const isPreferred = (server: BackendServer) =>
       isUsable(server) && !ejected.has(server.id) && hasWeights(server)
-    // What is known of a backend server may be old: rather one that seems unfit than none at all,
-    // for its sidecar decides again.
+    // The router's knowledge may be outdated: if no server seems fit, an unfit one is tried rather than none, since
+    // its sidecar decides again.
     return servers.some(isPreferred) ? isPreferred : isUsable
   }
   const rank = (request: SelectionRequest, policy: PolicyName, seen: PolicyState = state) => {
@@ -181,7 +181,7 @@
     const asked = new Set(first.map(({ server }) => server.id))
     return rank(request, policy).filter(({ server }) => asked.has(server.id))
   }
-  /** Ranks with what `findTruth` says in place of remembered hints. */
+  /** Ranks with the exact state from `findExactHints` instead of the remembered hints. */
   const rankWithTruth = (
     request: SelectionRequest,
     policy: PolicyName,
--- a/packages/router/src/direct/crashDetector.ts
+++ b/packages/router/src/direct/crashDetector.ts
@@ -1,6 +1,6 @@
 /**
- * Which backend servers ended, as the sends show that broke off. A send breaks off for many reasons; that its server ended shows
- * when the server accepts no connections then, or has started again.
+ * Detects crashes of backend servers from interrupted sends. A send can be interrupted for many reasons; it counts as a
+ * crash if the server accepts no connections afterwards or is reported to have restarted.
  */
 import type { InterruptedSend, FleetView } from '@spoolgate/control'
 import type { BackendServerId, Logger, TimerService } from '@spoolgate/core'
@@ -11,40 +11,40 @@
 /** Options of {@link createCrashDetector}. */
 export interface CrashDetectorOptions {
   readonly liveness: Pick<Liveness, 'checkAlive'>
-  /** What the router knows of the fleet, after each change. */
+  /** The router's view of the fleet, after each change. */
   readonly views: Observable<Pick<FleetView, 'servers'>>
   readonly timers: TimerService
   readonly logger: Logger
-  /** Called for each send that broke off with the end of its server. */
+  /** Called for each send that was interrupted by a crash of its server. */
   readonly onEnd: (server: BackendServerId, send: InterruptedSend) => void
 }
 
 /** See {@link createCrashDetector}. */
 export interface CrashDetector {
-  /** Notes a send that broke off. */
+  /** Records a send that was interrupted. */
   recordLost(server: ProbedServer, send: InterruptedSend): void
   close(): void
 }
 
-/** Sends to one server that broke off while it is not known whether the server ended. */
+/** Interrupted sends to a server that is not yet known to have crashed. */
 interface CrashCheck {
   readonly server: ProbedServer
-  /** Sends after which nobody has looked at the server yet. */
+  /** Sends after which the server has not been checked yet. */
   fresh: InterruptedSend[]
-  /** Sends after which the server accepted connections; it may have started again at once. */
+  /** Sends after which the server accepted connections; it may have crashed and restarted already. */
   older: readonly InterruptedSend[]
   isLooking: boolean
 }
 
 /**
- * Time for which a server that accepts connections may turn out to have restarted, in ms: routers learn of it after the
- * first heartbeat.
+ * Time to wait for the report that a server which accepts connections has restarted, in ms: routers learn of a restart
+ * after the first heartbeat.
  */
 const RESTART_REPORT_MS = 3_000
-/** Servers that ended and are remembered: some for each of a large fleet. */
+/** Maximum number of crashed server incarnations kept: several per server in a large fleet. */
 const MAX_CRASHED = 2_000
 
-/** Creates the watch. */
+/** Creates a crash detector. */
 export function createCrashDetector(options: CrashDetectorOptions): CrashDetector {
   const { liveness, timers, logger, onEnd } = options
   const ended = new LRUCache<BackendServerId, true>({ max: MAX_CRASHED })
@@ -57,7 +57,7 @@
     logger.warn('server.ended', { server: id, address, shownBy, sends: sends.length })
     for (const send of sends) onEnd(id, send)
   }
-  /** Keeps what broke off for a while, in case that a restart is reported. */
+  /** Keeps interrupted sends for a while in case a restart is reported. */
   const addOlder = (doubt: CrashCheck, sends: readonly InterruptedSend[]) => {
     doubt.older = [...doubt.older, ...sends]
     timers.after(RESTART_REPORT_MS).subscribe(() => {
@@ -67,8 +67,8 @@
     })
   }
   /**
-   * Looks at a server after each send that broke off. Answers break off without the end of their server as well, and
-   * the next one may be the end: one look for all of them would take a server for alive that ended since.
+   * Checks the server again for sends that were interrupted after the last check started. An earlier interruption may
+   * have had another cause, so reusing its result could miss a crash that happened since.
    */
   const look = async (doubt: CrashCheck) => {
     const { server } = doubt
--- a/packages/router/src/direct/errorResponses.ts
+++ b/packages/router/src/direct/errorResponses.ts
@@ -1,18 +1,17 @@
-/** Final answers for requests that no backend server answered, and when their callers may come back. */
+/** Error responses for requests that no backend server answered, and their Retry-After. */
 import { SpoolgateError, type RandomSource } from '@spoolgate/core'
 
-/** Seconds after which a caller may try again when every server refused. */
+/** Lower bound on Retry-After, in s; also the Retry-After when every server refused. */
 export const MIN_RETRY_AFTER_S = 0.15
-/** Upper bound on the Retry-After of a request that cannot be served in time, in ms. */
+/** Upper bound on the Retry-After of a request that cannot be served before its deadline, in ms. */
 const MAX_RETRY_AFTER_MS = 1_000
-/** Jitter of a Retry-After, as a part of it. */
+/** Jitter added to a Retry-After, as a fraction of it. */
 const RETRY_AFTER_JITTER = 0.25
 const MS_PER_S = 1_000
 
 /**
- * Finds when a caller should come back whose answer would not begin while it waits; undefined where
- * it should be served now. What surely cannot be served is refused at once, and leaves the engines to
- * those that can.
+ * Returns the Retry-After in seconds for a request whose response would not start before its deadline, or undefined
+ * if it should be served now. Rejecting such requests immediately leaves the engines to requests that can be served.
  */
 export function findRetryAfterSeconds(expectedMs: number, leftMs: number): number | undefined {
   if (expectedMs <= leftMs) return undefined
@@ -21,8 +20,8 @@
 }
 
 /**
- * Draws after how many seconds a caller should come back that no server takes for so many ms. All would come back
- * together at the end of a rest otherwise.
+ * Returns a Retry-After in seconds with random jitter for a request that no server accepts for `retryAfterMs`. Without
+ * jitter all callers would retry at once when the backoff of the servers ends.
  */
 export function drawRetryAfterSeconds(retryAfterMs: number, random: RandomSource): number {
   if (retryAfterMs <= 0) return MIN_RETRY_AFTER_S
@@ -30,36 +29,36 @@
   return Math.ceil(retryAfterMs + random.next() * spreadMs) / MS_PER_S
 }
 
-/** Creates the answer for a request whose outcome nobody knows. */
+/** Creates the error response for a request whose outcome is unknown. */
 export function createOutcomeUnknownError(message: string): SpoolgateError {
   return new SpoolgateError('outcomeUnknown', message)
 }
 
-/** Creates the answer for a request that no server takes. */
+/** Creates the error response for a request that no server accepted. */
 export function createUnavailableError(
   mayHaveRun: boolean,
   retryAfterSeconds = MIN_RETRY_AFTER_S,
 ): SpoolgateError {
-  if (mayHaveRun) return createOutcomeUnknownError('the backend server broke off')
-  const message = 'no backend server takes it now; try again'
+  if (mayHaveRun) return createOutcomeUnknownError('the backend server closed the connection before answering; the request may have run')
+  const message = 'no backend server can accept the request at the moment; try again'
   return new SpoolgateError('noBackendServer', message, { retryAfterSeconds })
 }
 
-/** Creates the answer for a request under which backend servers ended, and which is refused for so many ms. */
+/** Creates the error response for a request quarantined for `leftMs` because backend servers crashed under it. */
 export function createQuarantineError(leftMs: number): SpoolgateError {
   const message =
-    'backend servers ended under this request; change it, or have your operator look at them'
+    'backend servers crashed while running this request; change it, or ask your operator to inspect them'
   return new SpoolgateError('quarantined', message, {
     retryAfterSeconds: Math.ceil(leftMs / MS_PER_S),
   })
 }
 
-/** Creates the answer for a request whose time is over. */
+/** Creates the error response for a request whose deadline has passed. */
 export function createTimeoutError(mayHaveRun: boolean): SpoolgateError {
   if (mayHaveRun) {
-    return new SpoolgateError('timedOut', 'no answer in time; it is not known whether it ran')
+    return new SpoolgateError('timedOut', 'no response before the deadline; the request may have run')
   }
-  return new SpoolgateError('deadlineUnreachable', 'no backend server took it in time; try again', {
+  return new SpoolgateError('deadlineUnreachable', 'no backend server accepted the request before its deadline; try again', {
     retryAfterSeconds: MIN_RETRY_AFTER_S,
   })
 }
--- a/packages/router/src/direct/gracefulShutdown.ts
+++ b/packages/router/src/direct/gracefulShutdown.ts
@@ -1,6 +1,6 @@
 /**
- * The planned stop of a router: which requests it still takes, what is in progress, when it cuts off
- * what is left, and what the log says of it.
+ * Graceful shutdown of a router: tracks the requests in progress, rejects those that cannot finish before the
+ * shutdown deadline, and logs the requests that are cut off at the deadline.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import {
@@ -15,37 +15,37 @@
 import type { CallPlan } from './callPlan.js'
 import type { DirectCall } from './dialects.js'
 
-/** One request from its arrival until its connection has taken the answer, or has ended. */
+/** A request in progress: from its arrival until the response is sent or the connection closes. */
 export interface TrackedRequest {
-  /** Notes whose request it is, once its head was read. */
+  /** Records the decoded call once the request head has been read. */
   recordCall(call: DirectCall): void
-  /** Notes its route and its own limit, once they are known. */
+  /** Records the route and deadline of the request once they are known. */
   recordPlan(plan: CallPlan): void
 }
 
-/** The planned stop of one router; see {@link createGracefulShutdown}. */
+/** Graceful shutdown of one router; see {@link createGracefulShutdown}. */
 export interface GracefulShutdown {
   isStopping(): boolean
   /**
-   * Time within which a body must be there so that its request can still get an answer, in ms;
-   * Infinity while no stop is in progress.
+   * Returns how long a request body may take to arrive so that the request can still be answered, in ms;
+   * Infinity while no shutdown is in progress.
    */
   findBodyMs(): number
   /**
-   * Finds why a request must not be passed on: by its own limit it may not be over before a stop
-   * cuts it off. Undefined where it may be passed on.
+   * Returns the error for a request that must not be forwarded because its deadline lies after the end of the
+   * shutdown; undefined if it may be forwarded.
    */
   findRefusal(plan: CallPlan): SpoolgateError | undefined
   /**
-   * Notes a request that has just arrived; it counts until its answer is closed. Undefined when its
-   * connection has been promised to end before it, so that nothing could carry its answer.
+   * Tracks a request that has just arrived until its response is closed. Returns undefined if an earlier response
+   * has already announced the close of its connection, so that no response can be sent on it.
    */
   add(request: IncomingMessage, response: ServerResponse): TrackedRequest | undefined
-  /** Begins the stop; what is in progress after `drainMs` will be cut off. */
+  /** Starts the shutdown; requests still in progress after `drainMs` are cut off. */
   start(drainMs: number): void
-  /** Waits until nothing is in progress, or until the stop is over. */
+  /** Waits until no request is in progress or `drainMs` has elapsed. */
   waitUntilIdle(): Promise<void>
-  /** Logs what the caller is about to cut off, and returns its count. */
+  /** Logs the requests that the caller is about to cut off, and returns their number. */
   reportCutOff(): number
 }
 
@@ -53,36 +53,36 @@
 export interface GracefulShutdownOptions {
   readonly timers: TimerService
   readonly logger: Logger
-  /** Counts the requests that a stop cut off. */
+  /** Counts the requests that were cut off by a shutdown. */
   readonly cutOff: Counter
 }
 
-/** Time between two looks at what is in progress during a planned stop, in ms. */
+/** Interval at which a shutdown checks for requests in progress, in ms. */
 const POLL_IDLE_MS = 20
-/** Kept for the final answer of a request whose limit is reached, in ms: five looks. */
+/** Time reserved for the error response to a request that reaches its deadline, in ms: five idle checks. */
 const FINAL_ANSWER_MS = 5 * POLL_IDLE_MS
-/** Seconds after which a caller that a stopping router refused may turn to another one. */
+/** Retry-After of requests rejected by a router that is shutting down, in s; the retry may go to another router. */
 const TURN_ELSEWHERE_S = 0.05
-/** Requests with a log line of their own: half of the lines that a process may log in a second. */
+/** Maximum number of cut-off requests logged individually: half of the lines that a process may log per second. */
 const MAX_CUT_OFF_LINES = 100
 
 interface RequestInProgress {
   readonly response: ServerResponse
   readonly arrivedAt: number
-  /** Whether it arrived during the stop. */
+  /** Whether it arrived during the shutdown. */
   readonly isLate: boolean
   call: DirectCall | undefined
   plan: CallPlan | undefined
 }
 
-/** Lists for the log what decided a refusal of a stopping router. */
+/** Lists the figures behind a rejection during shutdown as log fields. */
 export function listRefusalFields({ kind, details }: SpoolgateError): LogFields {
   if (kind !== 'instanceStopping') return {}
   const inputs = Object.entries(details as Record<string, number>)
   return Object.fromEntries(inputs.map(([name, value]) => [name, Math.round(value)]))
 }
 
-/** Creates the planned stop of a router that runs. */
+/** Creates the graceful shutdown of a running router. */
 export function createGracefulShutdown(options: GracefulShutdownOptions): GracefulShutdown {
   const { timers, logger, cutOff } = options
   const inProgress = new Set<RequestInProgress>()
@@ -104,8 +104,8 @@
   return {
     isStopping: () => startedAt !== undefined,
     findBodyMs: () => Math.max(0, stopsAt - FINAL_ANSWER_MS - timers.now()),
-    // Only its own limit bounds a request: how long others took says nothing of this one, and what
-    // is still running at the end is cut off.
+    // Only the request's own deadline is considered: the durations of other requests do not predict this one's, and
+    // whatever is still running at the end is cut off.
     findRefusal: ({ deadline }) => {
       if (deadline + FINAL_ANSWER_MS <= stopsAt) return undefined
       const now = timers.now()
--- a/packages/router/src/direct/requestFingerprint.ts
+++ b/packages/router/src/direct/requestFingerprint.ts
@@ -1,18 +1,18 @@
 /**
- * What stays the same when a caller sends a request again under another id: its path, its caller and its body.
- * Fingerprints of one caller begin alike, so that what is kept of them can be bounded by caller.
+ * Request fingerprints: a hash of the caller, path and body, which stays the same when a caller retries the request
+ * under another id. All fingerprints of one caller share a prefix, so that stored fingerprints can be limited per caller.
  */
 import { createHash } from 'node:crypto'
 import { toRequestFingerprint, type RequestFingerprint } from '@spoolgate/core'
 import type { CallPlan } from './callPlan.js'
 
-/** Characters of 6 bits: 36 bits distinguish thousands of callers, 96 bits any number of requests. */
+/** Base64 characters of 6 bits each: 36 bits distinguish thousands of callers, 96 bits any number of requests. */
 const CALLER_CHARACTERS = 6
 const CONTENT_CHARACTERS = 16
-/** Keeps the end of one hashed text apart from the start of the next. */
+/** Separates the hashed strings, so that different splits of the same text do not collide. */
 const SEPARATOR = '\0'
 
-/** Twice as fast as SHA-256 where the processor has no instructions for that. */
+/** Twice as fast as SHA-256 on processors without SHA instructions. */
 const HASH = 'blake2b512'
 
 function hashCaller(caller: string): string {
@@ -20,16 +20,16 @@
 }
 
 /**
- * Hashes a request whose body was read whole. Neither key nor content can be read back from it. On a core of the developers'
- * machine it takes 5 µs for 1 KB, 31 µs for 20 KB and 155 µs for 110 KB (median of 2,000; the slowest in a hundred 14, 60 and
- * 276), so that a router of 20 requests a second spends a thousandth of a core on it.
+ * Computes the fingerprint of a request whose body has been read completely. Neither the key nor the content can be
+ * recovered from it. Hashing takes 5 µs for 1 KB, 31 µs for 20 KB and 155 µs for 110 KB (median of 2,000 runs; 99th
+ * percentile 14, 60 and 276 µs): a thousandth of a core at 20 requests per second.
  */
 export function hashRequest(
   plan: { readonly team: CallPlan['team']; readonly call: CallPlan['call'] },
   body: Buffer,
 ): RequestFingerprint {
   const { method, host, target } = plan.call
-  // Where no team is needed, a key is whatever a caller makes up: all of them count as one.
+  // Without teams the key is arbitrary and unverified, so all such callers count as one.
   const caller = hashCaller(plan.team?.id ?? '')
   const content = createHash(HASH)
     .update([method, host.toLowerCase(), target, ''].join(SEPARATOR))
--- a/packages/router/src/direct/requestQuarantine.ts
+++ b/packages/router/src/direct/requestQuarantine.ts
@@ -1,6 +1,6 @@
 /**
- * Rejects requests under which backend servers crash and which control has quarantined, and reports to control what
- * became of them: one such request, retried by its caller, can take a whole service down.
+ * Rejects requests that crash backend servers and that control has quarantined, and reports their outcomes to
+ * control: a single such request, retried by its caller, can take down a whole service.
  */
 import {
   CRASHES_TO_QUARANTINE,
@@ -20,57 +20,57 @@
 /** A request that may be sent once. */
 export interface Admission {
   readonly kind: 'admitted'
-  /** Round of the quarantine of which this send is the trial; 0 for none. */
+  /** Quarantine round for which this send is the trial; 0 if it is not a trial. */
   readonly round: number
-  /** Says that there was no server to send it to, or that the server did not take it. */
+  /** Returns the trial when no server was available or the server did not accept the request. */
   giveBack(): void
 }
 
 /** A request that may not be sent. */
 export interface Refusal {
   readonly kind: 'refused'
-  /** 0 where this router alone has decided. */
+  /** Quarantine round; 0 if this router decided without control. */
   readonly round: number
-  /** Time after which its caller may ask again, in ms. */
+  /** Time after which the caller may retry, in ms. */
   readonly leftMs: number
 }
 
 /** See {@link createRequestQuarantine}. */
 export interface RequestQuarantine {
-  /** Asks whether a request may be sent now. */
+  /** Decides whether a request may be sent now. */
   admit(request: RequestFingerprint): Admission | Refusal
-  /** Notes that a request was answered whole. */
+  /** Records that a request was answered completely. */
   recordAnswered(request: RequestFingerprint): void
-  /** Notes that a server ended under a send. */
+  /** Records that a server crashed during a send. */
   recordEnd(server: BackendServerId, request: RequestFingerprint, round: number): void
-  /** Takes over all requests that control suspects or holds in quarantine. */
+  /** Replaces the set of requests that control suspects or has quarantined. */
   apply(suspects: readonly SuspectedRequest[]): void
-  /** Takes over that a request may be sent once. */
+  /** Grants one trial send of a quarantined request. */
   recordTrial(request: RequestFingerprint): void
-  /** Counts the requests in quarantine. */
+  /** Counts the quarantined requests. */
   countHeld(): number
 }
 
-/** A trial that nobody has asked for yet. */
+/** A granted trial, which the next send of the request uses. */
 interface Trial {
   readonly request: RequestFingerprint
   isUsed: boolean
 }
 
-/** Time for which a trial waits until the request comes again, in ms; then another router may have it. */
+/** Time that an unused trial stays valid, in ms; after that control may grant it to another router. */
 const TRIAL_MS = 2_000
 /**
- * Lower bound on the Retry-After of a quarantined request, in ms. A harmless one is probed with what other callers
- * send.
+ * Lower bound on the Retry-After of a quarantined request, in ms. It may exceed the quarantine because a harmless
+ * request is tried with the sends of other callers.
  */
 const MIN_COME_BACK_MS = 60_000
 
 const ADMITTED: Admission = { kind: 'admitted', round: 0, giveBack: () => {} }
 
-/** Creates a quarantine without requests. */
+/** Creates an empty quarantine. */
 export function createRequestQuarantine(options: RequestQuarantineOptions): RequestQuarantine {
   const { record, timers, logger } = options
-  /** Rounds of the requests that control has quarantined. */
+  /** Quarantine round by request, as reported by control; 0 for requests that are only suspected. */
   let rounds: ReadonlyMap<RequestFingerprint, number> = new Map()
   let trial: Trial | undefined
 
@@ -96,7 +96,7 @@
         record.addAsked(request)
         return refuse(round)
       }
-      // Without a leader nobody else decides; one that has the report knows better.
+      // Decides locally only on crashes that no leader has received: once reported, the leader's decision applies.
       return record.countUnreportedExits(request) >= CRASHES_TO_QUARANTINE
         ? refuse(round)
         : ADMITTED
--- a/packages/router/src/direct/restartDetector.ts
+++ b/packages/router/src/direct/restartDetector.ts
@@ -1,6 +1,6 @@
 /**
- * Backend servers that have started again. The later start holds nothing of the earlier one: what that was
- * running is over, and connections to it may stay open without ever carrying a byte again.
+ * Detects backend servers that have restarted. The requests of the previous incarnation are lost, and connections to it
+ * may stay open without ever carrying data again.
  */
 import type { FleetView, RegisteredServer } from '@spoolgate/control'
 import type {
@@ -14,17 +14,17 @@
 
 /** Options of {@link createRestartDetector}. */
 export interface RestartDetectorOptions {
-  /** What the router knows of the fleet, after each change. */
+  /** The router's view of the fleet, after each change. */
   readonly views: Observable<Pick<FleetView, 'servers'>>
   readonly agent: Pick<KeepAliveAgent, 'closeIdle'>
   readonly logger: Logger
-  /** Called with the start before and the new one, before anything is sent to that. */
+  /** Called with the previous and the new incarnation, before anything is sent to the new one. */
   readonly onRestart?: (before: BackendServerId, after: BackendServerId) => void
 }
 
 /** See {@link createRestartDetector}. */
 export interface RestartDetector {
-  /** Emits once the server of an incarnation has started again. */
+  /** Emits when the server of the given incarnation has restarted. */
   watch(id: BackendServerId): Observable<void>
   close(): void
 }
@@ -33,23 +33,23 @@
 export interface StallWatchOptions {
   readonly restarts: Pick<RestartDetector, 'watch'>
   readonly timers: TimerService
-  /** Incarnation that a call was sent to, as far as the router knows. */
+  /** Incarnation that the call was sent to, as far as the router knows. */
   readonly server: BackendServerId
-  /** When the last part of the answer came, in ms of the monotonic clock. */
+  /** Returns when the last part of the response arrived, in ms of the monotonic clock. */
   readonly lastSignAt: () => number
   readonly onRestart: () => void
-  /** Called when the call has been silent for {@link STALL_TIMEOUT_MS} since its server started again. */
+  /** Called when no data has arrived for {@link STALL_TIMEOUT_MS} after the restart of the server. */
   readonly onSilent: () => void
 }
 
 /**
- * Silence after which a call to a server that has started again is presumed to be one of the earlier start, in ms:
- * more than the pauses that streams are allowed, 400 to 500 on the users' deployments. Not at once, since a call may
- * be at the later start already: a router learns of that one only from control.
+ * Time without data after which a call to a restarted server is presumed lost with the previous incarnation, in ms: more
+ * than the pauses allowed within streams, 400 to 500 ms in production. Calls are not given up immediately because the
+ * router learns of a restart only from control, and the call may already run on the new incarnation.
  */
 const STALL_TIMEOUT_MS = 1_000
 
-/** Watches a call for the restart of its server, and for the silence that follows. */
+/** Watches a call for a restart of its server, and for a stall after the restart. */
 export function watchStall(options: StallWatchOptions): Subscription {
   const { restarts, timers, server, lastSignAt, onRestart, onSilent } = options
   const waitUntilSilent = (restartedAt: number): Observable<unknown> => {
@@ -68,7 +68,7 @@
     .subscribe(onSilent)
 }
 
-/** Creates the watch. */
+/** Creates a restart detector. */
 export function createRestartDetector(options: RestartDetectorOptions): RestartDetector {
   const { agent, logger } = options
   const ended = new Subject<BackendServerId>()
--- a/packages/router/src/direct/sendQuota.ts
+++ b/packages/router/src/direct/sendQuota.ts
@@ -1,4 +1,4 @@
-/** The limit of a team on the path of one request: what a send costs, and the answer to one beyond the limit. */
+/** Team quotas on the request path: the cost of one send, and the error response when the quota is exhausted. */
 import { SpoolgateError } from '@spoolgate/core'
 import type { TeamQuota } from '@spoolgate/routing'
 import type { CallPlan } from './callPlan.js'
@@ -6,17 +6,17 @@
 import type { DirectParts } from './directParts.js'
 import { drawRetryAfterSeconds } from './errorResponses.js'
 
-/** A refusal with the figures that decided it. */
+/** A rejection by the quota, with the figures behind it as log fields. */
 export interface QuotaRefusal {
   readonly error: SpoolgateError
   readonly fields: Readonly<Record<string, unknown>>
 }
 
-/** What was decided of one send. */
+/** The quota decision on one send. */
 export interface QuotaDecision {
-  /** Undefined where the send is admitted. */
+  /** Undefined if the send is admitted. */
   readonly refusal: QuotaRefusal | undefined
-  /** Gives back what the send took; for sends that no server ran. */
+  /** Returns the quota taken by a send that no server ran. */
   readonly giveBack: () => void
 }
 
@@ -26,12 +26,12 @@
   if (unit === 'requests') return 1
   const { tokenCount } = call
   if (tokenCount !== 'unreadable') return tokenCount ?? uncountedTokens
-  const reason = 'the token count cannot be read; it counts as a request without one'
+  const reason = 'invalid token count; counted as a request without a token count'
   parts.rejectedInputs.record({ source: 'tokenCount', from: call.id, reason })
   return uncountedTokens
 }
 
-/** Admits one send of a request by the limit of its team, or refuses it. */
+/** Charges one send of a request to the quota of its team, or rejects it. */
 export async function takeQuota(parts: DirectParts, plan: CallPlan): Promise<QuotaDecision> {
   const { team, call } = plan
   const quota = team?.quota
