--- a/packages/router/src/direct/errorResponses.ts
+++ b/packages/router/src/direct/errorResponses.ts
@@ -39,7 +39,10 @@
   mayHaveRun: boolean,
   retryAfterSeconds = MIN_RETRY_AFTER_S,
 ): SpoolgateError {
-  if (mayHaveRun) return createOutcomeUnknownError('the backend server closed the connection before answering; the request may have run')
+  if (mayHaveRun)
+    return createOutcomeUnknownError(
+      'the backend server closed the connection before answering; the request may have run',
+    )
   const message = 'no backend server can accept the request at the moment; try again'
   return new SpoolgateError('noBackendServer', message, { retryAfterSeconds })
 }
@@ -56,9 +59,16 @@
 /** Creates the error response for a request whose deadline has passed. */
 export function createTimeoutError(mayHaveRun: boolean): SpoolgateError {
   if (mayHaveRun) {
-    return new SpoolgateError('timedOut', 'no response before the deadline; the request may have run')
+    return new SpoolgateError(
+      'timedOut',
+      'no response before the deadline; the request may have run',
+    )
   }
-  return new SpoolgateError('deadlineUnreachable', 'no backend server accepted the request before its deadline; try again', {
-    retryAfterSeconds: MIN_RETRY_AFTER_S,
-  })
+  return new SpoolgateError(
+    'deadlineUnreachable',
+    'no backend server accepted the request before its deadline; try again',
+    {
+      retryAfterSeconds: MIN_RETRY_AFTER_S,
+    },
+  )
 }
