--- a/packages/control/src/__tests__/quarantineCoordinator.spec.ts
+++ b/packages/control/src/__tests__/quarantineCoordinator.spec.ts
@@ -216,7 +216,7 @@
 
   it('is reported once, and to each new leader again for a while', () => {
     const { timers, record } = create()
-    record.addEnd(server('a'), send)
+    record.addCrash(server('a'), send)
     const ended = [{ server: server('a'), sends: [send] }]
     expect(record.listUnreported(1).report.ended).to.deep.equal(ended)
     record.recordReported(record.listUnreported(1), 1)
@@ -228,22 +228,22 @@
 
   it('is reported with the next poll where a poll was lost', () => {
     const { record } = create()
-    record.addEnd(server('a'), send)
+    record.addCrash(server('a'), send)
     record.listUnreported(1)
     expect(record.listUnreported(1).report.ended).to.have.length(1)
   })
 
   it('counts by itself only while it was reported to no leader', () => {
     const { record } = create()
-    for (const name of ['a', 'b', 'b', 'c']) record.addEnd(server(name), send)
-    expect(record.countUnreportedExits(R)).to.equal(3)
+    for (const name of ['a', 'b', 'b', 'c']) record.addCrash(server(name), send)
+    expect(record.countUnreportedCrashes(R)).to.equal(3)
     record.recordReported(record.listUnreported(1), 1)
-    expect(record.countUnreportedExits(R)).to.equal(0)
+    expect(record.countUnreportedCrashes(R)).to.equal(0)
   })
 
   it('is forgotten once the request was answered, which is reported once', () => {
     const { record } = create()
-    record.addEnd(server('a'), send)
+    record.addCrash(server('a'), send)
     record.addAnswered(R)
     const unreported = record.listUnreported(1)
     expect(unreported.report).to.deep.equal(buildReport({ answered: [R] }))
@@ -254,10 +254,10 @@
   it('stays bounded, and names the most refused request first', () => {
     const { record } = create()
     for (let index = 0; index < 5_000; index += 1) {
-      record.addEnd(server(`s${index}`), send)
-      record.addAsked(toRequestFingerprint(`c.${index % 100}`))
+      record.addCrash(server(`s${index}`), send)
+      record.addRejected(toRequestFingerprint(`c.${index % 100}`))
     }
-    record.addAsked(toRequestFingerprint('c.7'))
+    record.addRejected(toRequestFingerprint('c.7'))
     const { ended, asked } = record.listUnreported(1).report
     expect(ended.length).to.be.at.most(1_000)
     expect(asked.length).to.be.at.most(64)
--- a/packages/control/src/quarantine/crashReportBuffer.ts
+++ b/packages/control/src/quarantine/crashReportBuffer.ts
@@ -8,22 +8,22 @@
 /** A report and the outcomes that it was built from. */
 export interface UnreportedOutcomes {
   readonly report: CrashReport
-  readonly facts: readonly RequestOutcome[]
+  readonly outcomes: readonly RequestOutcome[]
 }
 
 /** See {@link createCrashReportBuffer}. */
 export interface CrashReportBuffer {
-  addEnd(server: BackendServerId, send: InterruptedSend): void
+  addCrash(server: BackendServerId, send: InterruptedSend): void
   /** Records that a suspected request was answered, and discards its crashes. */
   addAnswered(request: RequestFingerprint): void
   /** Records that a quarantined request was rejected. */
-  addAsked(request: RequestFingerprint): void
+  addRejected(request: RequestFingerprint): void
   /** Records that the trial granted for a request went unused. */
-  addUntried(request: RequestFingerprint): void
+  addUnusedTrial(request: RequestFingerprint): void
   /** Discards the crashes recorded for a request that control no longer suspects. */
-  removeEnds(request: RequestFingerprint): void
+  removeCrashes(request: RequestFingerprint): void
   /** Counts the servers that crashed under a request and were not reported to any leader yet. */
-  countUnreportedExits(request: RequestFingerprint): number
+  countUnreportedCrashes(request: RequestFingerprint): number
   /** Builds the report of everything that was not reported to the leader of the given term. */
   listUnreported(term: number): UnreportedOutcomes
   /** Records that the leader of the given term has received the report. */
@@ -52,89 +52,91 @@
 const MAX_OUTCOMES = 1_000
 
 /** Maximum number of rejected requests per report: as many as one caller may have in quarantine. */
-const MAX_REFUSED = 64
+const MAX_REJECTED = 64
 
 const NOTHING_UNREPORTED: UnreportedOutcomes = {
   report: { ended: [], answered: [], asked: [], untried: [] },
-  facts: [],
+  outcomes: [],
 }
 
 function buildReport(
-  facts: readonly RequestOutcome[],
-  asked: ReadonlyMap<RequestFingerprint, number>,
-  untried: ReadonlySet<RequestFingerprint>,
+  outcomes: readonly RequestOutcome[],
+  rejections: ReadonlyMap<RequestFingerprint, number>,
+  unusedTrials: ReadonlySet<RequestFingerprint>,
 ): CrashReport {
   const ended = new Map<BackendServerId, InterruptedSend[]>()
-  for (const fact of facts) {
-    if (fact.kind !== 'ended') continue
-    ended.set(fact.server, [...(ended.get(fact.server) ?? []), fact.send])
+  for (const outcome of outcomes) {
+    if (outcome.kind !== 'ended') continue
+    ended.set(outcome.server, [...(ended.get(outcome.server) ?? []), outcome.send])
   }
-  const answered = facts.filter(({ kind }) => kind === 'answered').map(({ request }) => request)
+  const answered = outcomes.filter(({ kind }) => kind === 'answered').map(({ request }) => request)
   return {
     ended: [...ended].map(([server, sends]): CrashedServer => ({ server, sends })),
     answered,
-    untried: [...untried],
-    asked: [...asked].sort(([, a], [, b]) => b - a).map(([request]) => request),
+    untried: [...unusedTrials],
+    asked: [...rejections].sort(([, a], [, b]) => b - a).map(([request]) => request),
   }
 }
 
 /** Creates an empty buffer. */
 export function createCrashReportBuffer(timers: TimerService): CrashReportBuffer {
-  let facts: readonly RequestOutcome[] = []
+  let outcomes: readonly RequestOutcome[] = []
   /** Number of rejections per quarantined request since the last report. */
-  const asked = new Map<RequestFingerprint, number>()
-  const untried = new Set<RequestFingerprint>()
+  const rejections = new Map<RequestFingerprint, number>()
+  const unusedTrials = new Set<RequestFingerprint>()
 
-  const add = (fact: RequestOutcome) => {
-    facts = [...facts, fact].slice(-MAX_OUTCOMES)
+  const add = (outcome: RequestOutcome) => {
+    outcomes = [...outcomes, outcome].slice(-MAX_OUTCOMES)
   }
-  const removeEnds = (request: RequestFingerprint) => {
-    if (facts.length === 0) return
-    facts = facts.filter((fact) => fact.kind !== 'ended' || fact.request !== request)
+  const removeCrashes = (request: RequestFingerprint) => {
+    if (outcomes.length === 0) return
+    outcomes = outcomes.filter((outcome) => outcome.kind !== 'ended' || outcome.request !== request)
   }
   const removeOld = () => {
     const oldest = timers.now() - RETENTION_MS
-    if (facts.some(({ at }) => at <= oldest)) facts = facts.filter(({ at }) => at > oldest)
+    if (outcomes.some(({ at }) => at <= oldest)) outcomes = outcomes.filter(({ at }) => at > oldest)
   }
-  const build = (request: RequestFingerprint) => ({
+  const createBase = (request: RequestFingerprint) => ({
     request,
     at: timers.now(),
     reportedTerm: undefined,
   })
   return {
-    addEnd: (server, send) => add({ kind: 'ended', ...build(send.request), server, send }),
+    addCrash: (server, send) => add({ kind: 'ended', ...createBase(send.request), server, send }),
     addAnswered: (request) => {
-      removeEnds(request)
-      add({ kind: 'answered', ...build(request) })
+      removeCrashes(request)
+      add({ kind: 'answered', ...createBase(request) })
     },
-    addAsked: (request) => {
-      const count = asked.get(request) ?? 0
-      if (count > 0 || asked.size < MAX_REFUSED) asked.set(request, count + 1)
+    addRejected: (request) => {
+      const count = rejections.get(request) ?? 0
+      if (count > 0 || rejections.size < MAX_REJECTED) rejections.set(request, count + 1)
     },
-    removeEnds,
-    addUntried: (request) => void untried.add(request),
-    countUnreportedExits: (request) => {
+    removeCrashes,
+    addUnusedTrial: (request) => void unusedTrials.add(request),
+    countUnreportedCrashes: (request) => {
       const servers = new Set<BackendServerId>()
-      for (const fact of facts) {
-        const isUnreported = fact.kind === 'ended' && fact.reportedTerm === undefined
-        if (isUnreported && fact.request === request) servers.add(fact.server)
+      for (const outcome of outcomes) {
+        const isUnreported = outcome.kind === 'ended' && outcome.reportedTerm === undefined
+        if (isUnreported && outcome.request === request) servers.add(outcome.server)
       }
       return servers.size
     },
     listUnreported: (term) => {
-      if (facts.length + asked.size + untried.size === 0) return NOTHING_UNREPORTED
+      if (outcomes.length + rejections.size + unusedTrials.size === 0) return NOTHING_UNREPORTED
       removeOld()
-      const unreported = facts.filter(({ reportedTerm }) => reportedTerm !== term)
-      const report = buildReport(unreported, asked, untried)
+      const unreported = outcomes.filter(({ reportedTerm }) => reportedTerm !== term)
+      const report = buildReport(unreported, rejections, unusedTrials)
       // Not restored if the report is lost: unlike outcomes, these are reported at most once.
-      asked.clear()
-      untried.clear()
-      return { report, facts: unreported }
+      rejections.clear()
+      unusedTrials.clear()
+      return { report, outcomes: unreported }
     },
-    recordReported: ({ facts: reported }, term) => {
-      for (const fact of reported) fact.reportedTerm = term
+    recordReported: ({ outcomes: reported }, term) => {
+      for (const outcome of reported) outcome.reportedTerm = term
       // Answers are reported only once: reporting them again would discard crashes that happened later.
-      facts = facts.filter((fact) => fact.kind !== 'answered' || fact.reportedTerm === undefined)
+      outcomes = outcomes.filter(
+        (outcome) => outcome.kind !== 'answered' || outcome.reportedTerm === undefined,
+      )
     },
   }
 }
--- a/packages/control/src/quarantine/crashTally.ts
+++ b/packages/control/src/quarantine/crashTally.ts
@@ -11,13 +11,13 @@
   /** Servers that crashed under the request. */
   readonly servers: ReadonlySet<BackendServerId>
   /** When the last crash was reported, in ms of the monotonic clock. */
-  readonly lastEndAt: number
+  readonly lastCrashAt: number
 }
 
 /** See {@link createCrashTally}. */
 export interface CrashTally {
   /** Counts the crash of a server under a request, at most once. */
-  addEnd(request: RequestFingerprint, server: BackendServerId): RequestCrashes
+  addCrash(request: RequestFingerprint, server: BackendServerId): RequestCrashes
   remove(request: RequestFingerprint): void
   /** Lists the suspected requests, which are reported to routers. */
   listSuspects(): readonly RequestFingerprint[]
@@ -38,34 +38,34 @@
 
 /** Creates an empty tally. */
 export function createCrashTally(timers: TimerService): CrashTally {
-  const suspicions = createFingerprintMap<RequestCrashes>(TALLY_BOUNDS)
+  const crashesByRequest = createFingerprintMap<RequestCrashes>(TALLY_BOUNDS)
   let revision = 0
   const isSuspect = ({ servers }: RequestCrashes) => servers.size >= CRASHES_TO_SUSPECT
   const findRecent = (request: RequestFingerprint) => {
-    const known = suspicions.find(request)
-    return known && timers.now() - known.lastEndAt < CRASH_RETENTION_MS ? known : undefined
+    const known = crashesByRequest.find(request)
+    return known && timers.now() - known.lastCrashAt < CRASH_RETENTION_MS ? known : undefined
   }
   return {
-    addEnd: (request, server) => {
-      const before = findRecent(request)
-      if (before?.servers.has(server)) return before
-      const servers = new Set(before?.servers).add(server)
-      const suspicion = { servers, lastEndAt: timers.now() }
-      suspicions.add(request, suspicion)
-      if (isSuspect(suspicion)) revision += 1
-      return suspicion
+    addCrash: (request, server) => {
+      const known = findRecent(request)
+      if (known?.servers.has(server)) return known
+      const servers = new Set(known?.servers).add(server)
+      const crashes = { servers, lastCrashAt: timers.now() }
+      crashesByRequest.add(request, crashes)
+      if (isSuspect(crashes)) revision += 1
+      return crashes
     },
     remove: (request) => {
-      if (suspicions.remove(request)) revision += 1
+      if (crashesByRequest.remove(request)) revision += 1
     },
     listSuspects: () =>
-      suspicions
+      crashesByRequest
         .list()
-        .filter(([, suspicion]) => isSuspect(suspicion))
+        .filter(([, crashes]) => isSuspect(crashes))
         .map(([request]) => request),
     revision: () => revision,
     reset: () => {
-      suspicions.clear()
+      crashesByRequest.clear()
       revision += 1
     },
   }
--- a/packages/control/src/quarantine/fingerprintMap.ts
+++ b/packages/control/src/quarantine/fingerprintMap.ts
@@ -23,10 +23,15 @@
 }
 
 /** Sets an entry as the newest of a map, and removes the oldest entries above `most`. */
-function addNewest<Key, Value>(map: Map<Key, Value>, key: Key, value: Value, most: number): void {
+function addAsNewest<Key, Value>(
+  map: Map<Key, Value>,
+  key: Key,
+  value: Value,
+  maxSize: number,
+): void {
   map.delete(key)
   map.set(key, value)
-  removeOldest(map, most)
+  removeOldest(map, maxSize)
 }
 
 /** Creates an empty map. */
@@ -36,18 +41,18 @@
     find: (request) => callers.get(parseCallerHash(request))?.get(request),
     add: (request, value) => {
       const caller = parseCallerHash(request)
-      const own = callers.get(caller) ?? new Map<RequestFingerprint, Value>()
-      addNewest(own, request, value, bounds.maxPerCaller)
-      addNewest(callers, caller, own, bounds.maxCallers)
+      const entries = callers.get(caller) ?? new Map<RequestFingerprint, Value>()
+      addAsNewest(entries, request, value, bounds.maxPerCaller)
+      addAsNewest(callers, caller, entries, bounds.maxCallers)
     },
     remove: (request) => {
       const caller = parseCallerHash(request)
-      const own = callers.get(caller)
-      const isRemoved = own?.delete(request) === true
-      if (own?.size === 0) callers.delete(caller)
+      const entries = callers.get(caller)
+      const isRemoved = entries?.delete(request) === true
+      if (entries?.size === 0) callers.delete(caller)
       return isRemoved
     },
-    list: () => [...callers.values()].flatMap((own) => [...own]),
+    list: () => [...callers.values()].flatMap((entries) => [...entries]),
     clear: () => callers.clear(),
   }
 }
--- a/packages/control/src/quarantine/quarantineCoordinator.ts
+++ b/packages/control/src/quarantine/quarantineCoordinator.ts
@@ -55,26 +55,26 @@
   const trials = createTrialScheduler(options)
   const changes = new Subject<void>()
   /** Commands by request that are not committed yet; failed proposals are retried with the next report. */
-  const wanted = new Map<RequestFingerprint, QuarantineCommand>()
+  const pending = new Map<RequestFingerprint, QuarantineCommand>()
   const proposing = new Set<QuarantineCommand>()
-  let knownTerm: number | undefined
+  let currentTerm: number | undefined
 
   /** Discards the state of an earlier term: routers report everything again to a new leader. */
   const resetForTerm = () => {
     const { term } = member.status()
-    if (term !== knownTerm) {
+    if (term !== currentTerm) {
       tally.reset()
       trials.reset()
-      wanted.clear()
+      pending.clear()
     }
-    knownTerm = term
+    currentTerm = term
   }
   const propose = async (command: QuarantineCommand) => {
     const { request } = command
     proposing.add(command)
     try {
       await member.propose(command)
-      if (wanted.get(request) === command) wanted.delete(request)
+      if (pending.get(request) === command) pending.delete(request)
       // From now on only crashes in the next round count, and that round comes from the replicated state.
       tally.remove(request)
       changes.next()
@@ -84,59 +84,63 @@
       proposing.delete(command)
     }
   }
-  const proposeWanted = () => {
-    for (const command of wanted.values()) {
+  const proposePending = () => {
+    for (const command of pending.values()) {
       if (!proposing.has(command)) void propose(command)
     }
   }
-  const wantQuarantine = (
+  const startQuarantine = (
     request: RequestFingerprint,
     round: number,
     servers: readonly BackendServerId[],
   ) => {
-    if (wanted.get(request)?.kind === 'request.quarantine') return
-    wanted.set(request, { kind: 'request.quarantine', request, round })
+    if (pending.get(request)?.kind === 'request.quarantine') return
+    pending.set(request, { kind: 'request.quarantine', request, round })
     const holdMs = findQuarantineMs(round)
     logger.warn('request.quarantined', { fingerprint: request, round, servers, holdMs })
   }
-  const recordEnd = ({ request, round }: InterruptedSend, server: BackendServerId) => {
-    const held = quarantine.find(request)
+  const recordCrash = ({ request, round }: InterruptedSend, server: BackendServerId) => {
+    const quarantined = quarantine.find(request)
     // Ignores sends from before the router knew of the current quarantine round.
-    if (round !== (held?.round ?? 0)) return
-    if (held) return wantQuarantine(request, round + 1, [server])
-    const { servers } = tally.addEnd(request, server)
-    if (servers.size >= CRASHES_TO_QUARANTINE) wantQuarantine(request, 1, [...servers])
+    if (round !== (quarantined?.round ?? 0)) return
+    if (quarantined) return startQuarantine(request, round + 1, [server])
+    const { servers } = tally.addCrash(request, server)
+    if (servers.size >= CRASHES_TO_QUARANTINE) startQuarantine(request, 1, [...servers])
   }
   const recordAnswered = (request: RequestFingerprint) => {
     tally.remove(request)
     trials.remove(request)
-    const held = quarantine.find(request) ?? wanted.get(request)
-    if (!held || !('round' in held)) return
-    wanted.set(request, { kind: 'request.release', request })
-    logger.info('request.released', { fingerprint: request, round: held.round, reason: 'answered' })
+    const quarantined = quarantine.find(request) ?? pending.get(request)
+    if (!quarantined || !('round' in quarantined)) return
+    pending.set(request, { kind: 'request.release', request })
+    logger.info('request.released', {
+      fingerprint: request,
+      round: quarantined.round,
+      reason: 'answered',
+    })
   }
   return {
-    record: ({ ended, answered, asked, untried }) => {
+    record: ({ ended, answered, asked: rejected, untried: unusedTrials }) => {
       resetForTerm()
       const before = tally.revision()
       for (const { server, sends } of ended) {
-        for (const send of sends) recordEnd(send, server)
+        for (const send of sends) recordCrash(send, server)
       }
       answered.forEach(recordAnswered)
-      untried.forEach(trials.recordUntried)
-      proposeWanted()
+      unusedTrials.forEach(trials.recordUnusedTrial)
+      proposePending()
       if (tally.revision() !== before) changes.next()
-      const tried = trials.choose(asked)
-      if (tried !== undefined) logger.info('request.tried', { fingerprint: tried })
-      return tried
+      const trial = trials.choose(rejected)
+      if (trial !== undefined) logger.info('request.tried', { fingerprint: trial })
+      return trial
     },
     list: () => {
-      const held = quarantine.list()
+      const quarantined = quarantine.list()
       const suspects = tally
         .listSuspects()
         .filter((request) => !quarantine.find(request))
         .map((request) => ({ request, round: 0 }))
-      return [...held, ...suspects]
+      return [...quarantined, ...suspects]
     },
     revision: () => tally.revision() + quarantine.revision(),
     changes,
--- a/packages/control/src/quarantine/trialScheduler.ts
+++ b/packages/control/src/quarantine/trialScheduler.ts
@@ -16,22 +16,22 @@
 /** See {@link createTrialScheduler}. */
 export interface TrialScheduler {
   /** Records that a router did not use the trial that it was granted. */
-  recordUntried(request: RequestFingerprint): void
+  recordUnusedTrial(request: RequestFingerprint): void
   /** Discards the state of a request that was answered, so that its next quarantine starts afresh. */
   remove(request: RequestFingerprint): void
   /** Discards all state, as a new leader must. */
   reset(): void
   /** Chooses which of the requests that a router has rejected it may send once; undefined for none. */
-  choose(asked: readonly RequestFingerprint[]): RequestFingerprint | undefined
+  choose(rejected: readonly RequestFingerprint[]): RequestFingerprint | undefined
 }
 
 /** State of a quarantined request in its current round. */
 interface QuarantineRound {
   readonly round: number
   /** When a router first reported the request in this round, in ms of the monotonic clock. */
-  readonly since: number
+  readonly startedAt: number
   /** When a trial was last granted; -Infinity for never. */
-  triedAt: number
+  trialAt: number
 }
 
 /** Time during which no other trial is granted, in ms: twice as long as a router keeps an unused trial. */
@@ -45,46 +45,48 @@
   timers,
 }: TrialSchedulerOptions): TrialScheduler {
   const rounds = createFingerprintMap<QuarantineRound>(QUARANTINE_BOUNDS)
-  let current: { readonly request: RequestFingerprint; readonly state: QuarantineRound } | undefined
+  let currentTrial:
+    { readonly request: RequestFingerprint; readonly state: QuarantineRound } | undefined
 
-  const findRound = (request: RequestFingerprint): QuarantineRound | undefined => {
+  const findOrStartRound = (request: RequestFingerprint): QuarantineRound | undefined => {
     const round = quarantine.find(request)?.round
     if (round === undefined) return undefined
-    const known = rounds.find(request)
-    if (known?.round === round) return known
-    const started = { round, since: timers.now(), triedAt: -Infinity }
-    rounds.add(request, started)
-    return started
+    const state = rounds.find(request)
+    if (state?.round === round) return state
+    const startedRound = { round, startedAt: timers.now(), trialAt: -Infinity }
+    rounds.add(request, startedRound)
+    return startedRound
   }
   const isDue = (request: RequestFingerprint) => {
-    const known = findRound(request)
-    if (!known) return false
+    const state = findOrStartRound(request)
+    if (!state) return false
     const now = timers.now()
     return (
-      now - known.since >= findQuarantineMs(known.round) && now - known.triedAt >= TRIAL_RETRY_MS
+      now - state.startedAt >= findQuarantineMs(state.round) &&
+      now - state.trialAt >= TRIAL_RETRY_MS
     )
   }
-  const isUnderWay = () =>
-    current !== undefined &&
-    quarantine.find(current.request)?.round === current.state.round &&
-    timers.now() - current.state.triedAt < TRIAL_TIMEOUT_MS
+  const isTrialRunning = () =>
+    currentTrial !== undefined &&
+    quarantine.find(currentTrial.request)?.round === currentTrial.state.round &&
+    timers.now() - currentTrial.state.trialAt < TRIAL_TIMEOUT_MS
   return {
-    recordUntried: (request) => {
-      const known = rounds.find(request)
-      if (known) known.triedAt = -Infinity
+    recordUnusedTrial: (request) => {
+      const state = rounds.find(request)
+      if (state) state.trialAt = -Infinity
     },
     remove: (request) => void rounds.remove(request),
     reset: () => {
       rounds.clear()
-      current = undefined
+      currentTrial = undefined
     },
-    choose: (asked) => {
-      const due = asked.filter(isDue)
+    choose: (rejected) => {
+      const due = rejected.filter(isDue)
       const [request] = due
-      const state = request === undefined ? undefined : findRound(request)
-      if (request === undefined || !state || isUnderWay()) return undefined
-      state.triedAt = timers.now()
-      current = { request, state }
+      const state = request === undefined ? undefined : findOrStartRound(request)
+      if (request === undefined || !state || isTrialRunning()) return undefined
+      state.trialAt = timers.now()
+      currentTrial = { request, state }
       return request
     },
   }
--- a/packages/router/src/__tests__/crashDetector.spec.ts
+++ b/packages/router/src/__tests__/crashDetector.spec.ts
@@ -14,47 +14,54 @@
 const SERVER = { id: toBackendServerId('s@1'), address: '10.0.0.1:80' }
 const settle = () => new Promise((resolve) => setImmediate(resolve))
 
-function createEnds(isAliveAtFirst: boolean) {
-  let isAlive = isAliveAtFirst
+function createDetector(isAliveInitially: boolean) {
+  let isAlive = isAliveInitially
   const timers = createManualTimerService()
   const views = new Subject<{ servers: ReadonlyMap<BackendServerId, RegisteredServer> }>()
-  const ended: BackendServerId[] = []
-  let looks = 0
-  const exits = createCrashDetector({
+  const crashed: BackendServerId[] = []
+  let checks = 0
+  const detector = createCrashDetector({
     liveness: {
       checkAlive: async () => {
-        looks += 1
+        checks += 1
         return isAlive
       },
     },
     views,
     timers,
     logger: createQuietLogger(),
-    onEnd: (server) => ended.push(server),
+    onCrash: (server) => crashed.push(server),
   })
-  const tell = (id: string, address: string) => {
+  const reportServer = (id: string, address: string) => {
     const server = { id: toBackendServerId(id), address } as RegisteredServer
     views.next({ servers: new Map([[server.id, server]]) })
   }
-  const end = () => {
+  const crash = () => {
     isAlive = false
   }
-  return { timers, exits, ended, tell, end, looks: () => looks }
+  return {
+    timers,
+    exits: detector,
+    ended: crashed,
+    tell: reportServer,
+    end: crash,
+    looks: () => checks,
+  }
 }
 
 describe('sends that break off', () => {
   it('show the end of a server that accepts no connections, with one look for all of them', async () => {
-    const { exits, ended, looks } = createEnds(false)
-    for (let send = 0; send < 3; send += 1) exits.recordLost(SERVER, SEND)
+    const { exits, ended, looks } = createDetector(false)
+    for (let send = 0; send < 3; send += 1) exits.recordInterrupted(SERVER, SEND)
     await settle()
-    exits.recordLost(SERVER, SEND)
+    exits.recordInterrupted(SERVER, SEND)
     expect(ended).to.deep.equal([SERVER.id, SERVER.id, SERVER.id, SERVER.id])
     expect(looks()).to.equal(1)
   })
 
   it('show nothing of a server that accepts connections', async () => {
-    const { exits, ended, timers, tell } = createEnds(true)
-    exits.recordLost(SERVER, SEND)
+    const { exits, ended, timers, tell } = createDetector(true)
+    exits.recordInterrupted(SERVER, SEND)
     await settle()
     tell('s@1', SERVER.address)
     expect(ended).to.deep.equal([])
@@ -64,26 +71,26 @@
   })
 
   it('show the end of a server that was alive when an earlier one broke off', async () => {
-    const { exits, ended, end } = createEnds(true)
-    exits.recordLost(SERVER, SEND)
+    const { exits, ended, end } = createDetector(true)
+    exits.recordInterrupted(SERVER, SEND)
     await settle()
     end()
-    exits.recordLost(SERVER, SEND)
+    exits.recordInterrupted(SERVER, SEND)
     await settle()
     expect(ended).to.deep.equal([SERVER.id])
   })
 
   it('show the end of a server whose later start is reported', async () => {
-    const { exits, ended, tell } = createEnds(true)
-    exits.recordLost(SERVER, SEND)
+    const { exits, ended, tell } = createDetector(true)
+    exits.recordInterrupted(SERVER, SEND)
     await settle()
     tell('s@2', SERVER.address)
     expect(ended).to.deep.equal([SERVER.id])
   })
 
   it('show nothing of a server that has left', async () => {
-    const { exits, ended, tell } = createEnds(true)
-    exits.recordLost(SERVER, SEND)
+    const { exits, ended, tell } = createDetector(true)
+    exits.recordInterrupted(SERVER, SEND)
     await settle()
     tell('t@1', '10.0.0.2:80')
     expect(ended).to.deep.equal([])
--- a/packages/router/src/__tests__/gracefulShutdown.spec.ts
+++ b/packages/router/src/__tests__/gracefulShutdown.spec.ts
@@ -33,7 +33,7 @@
   let timers: ManualTimerService
   let lines: string[]
   let counted: number
-  let stop: GracefulShutdown
+  let shutdown: GracefulShutdown
 
   beforeEach(() => {
     timers = createManualTimerService()
@@ -41,7 +41,7 @@
     counted = 0
     const logger = createLogger({ write: (line) => lines.push(line) })
     const cutOff = { add: (count: number) => (counted += count) } as unknown as Counter
-    stop = createGracefulShutdown({ timers, logger, cutOff })
+    shutdown = createGracefulShutdown({ timers, logger, cutOff })
   })
 
   /** Lines of one event, without time and level. */
@@ -51,7 +51,7 @@
       .map((line) => line.slice(line.indexOf(' event=') + ` event=${event} `.length))
   const addCall = (id: string, limitMs: number, isStream: boolean) => {
     const { request, response } = createExchange()
-    const call = stop.add(request, response)
+    const call = shutdown.track(request, response)
     const route = { name: isStream ? 'streams' : 'orders', isStream }
     const plan = { call: { id }, route, deadline: timers.now() + limitMs } as CallPlan
     call?.recordCall(plan.call)
@@ -63,20 +63,20 @@
     addCall('r-1', 60_000, true)
     addCall('r-2', 60_000, false)
     addCall('r-3', 60_000, true).emit('close')
-    stop.start(DRAIN_MS)
+    shutdown.start(DRAIN_MS)
     expect(listLines('router.stopping')).to.deep.equal(['inProgress=2 streams=1 stopsInMs=8000'])
   })
 
   it('names each request that it cuts off with what decided it, and counts them', async () => {
     addCall('r-1', 60_000, true).headersSent = true
     timers.advance(1_000)
-    stop.start(DRAIN_MS)
+    shutdown.start(DRAIN_MS)
     timers.advance(500)
     addCall('r-2', 9_000, false)
-    const idle = stop.waitUntilIdle()
+    const idle = shutdown.waitUntilIdle()
     timers.advance(7_520)
     await idle
-    expect(stop.reportCutOff()).to.equal(2)
+    expect(shutdown.reportCutOff()).to.equal(2)
     expect(listLines('call.cutOff')).to.deep.equal([
       'request=r-1 route=streams ms=9020 leftMs=50980 hasBegun=true isLate=false',
       'request=r-2 route=orders ms=7520 leftMs=1480 hasBegun=false isLate=true',
@@ -87,10 +87,10 @@
 
   it('names no request where all were answered', async () => {
     const response = addCall('r-1', 60_000, true)
-    stop.start(DRAIN_MS)
+    shutdown.start(DRAIN_MS)
     response.emit('close')
-    await stop.waitUntilIdle()
-    expect(stop.reportCutOff()).to.equal(0)
+    await shutdown.waitUntilIdle()
+    expect(shutdown.reportCutOff()).to.equal(0)
     expect(listLines('call.cutOff')).to.deep.equal([])
     expect(listLines('router.stopped')).to.deep.equal(['abandoned=0 ms=0'])
     expect(counted).to.equal(0)
@@ -98,17 +98,17 @@
 
   it('names one that was cut off before it was known what it is', () => {
     const { request, response } = createExchange()
-    stop.add(request, response)
-    stop.start(0)
-    stop.reportCutOff()
+    shutdown.track(request, response)
+    shutdown.start(0)
+    shutdown.reportCutOff()
     const [line] = listLines('call.cutOff')
     expect(line).to.equal('request=- route=- ms=0 leftMs=- hasBegun=false isLate=false')
   })
 
   it('bounds its lines, and counts what has none', () => {
     for (let number = 0; number < 130; number += 1) addCall(`r-${number}`, 60_000, true)
-    stop.start(0)
-    stop.reportCutOff()
+    shutdown.start(0)
+    shutdown.reportCutOff()
     expect(listLines('call.cutOff')).to.have.length(100)
     expect(listLines('router.stopped')).to.deep.equal(['abandoned=130 ms=0'])
     expect(counted).to.equal(130)
@@ -119,20 +119,20 @@
   const timers = createManualTimerService()
   const cutOff = { add: () => {} } as unknown as Counter
   const logger = createQuietLogger()
-  const stop = createGracefulShutdown({ timers, logger, cutOff })
+  const shutdown = createGracefulShutdown({ timers, logger, cutOff })
   const createPlan = (limitMs: number) => ({ deadline: timers.now() + limitMs }) as CallPlan
 
   it('is everything while no stop is under way', () => {
-    expect(stop.findRefusal(createPlan(1e9))).to.equal(undefined)
-    expect(stop.isStopping()).to.equal(false)
-    expect(stop.findBodyMs()).to.equal(Infinity)
+    expect(shutdown.findRefusal(createPlan(1e9))).to.equal(undefined)
+    expect(shutdown.isStopping()).to.equal(false)
+    expect(shutdown.findBodyTimeoutMs()).to.equal(Infinity)
   })
 
   it('is what ends by its own limit while the final answer can still be given', () => {
-    stop.start(DRAIN_MS)
-    expect(stop.findRefusal(createPlan(7_900))).to.equal(undefined)
+    shutdown.start(DRAIN_MS)
+    expect(shutdown.findRefusal(createPlan(7_900))).to.equal(undefined)
     for (const limitMs of [7_901, 8_000, 15_000]) {
-      const refusal = stop.findRefusal(createPlan(limitMs))
+      const refusal = shutdown.findRefusal(createPlan(limitMs))
       expect(refusal).to.be.instanceOf(SpoolgateError)
       expect(refusal).to.include({
         kind: 'instanceStopping',
@@ -145,10 +145,10 @@
 
   it('becomes less as its end comes nearer', () => {
     timers.advance(7_000)
-    expect(stop.findRefusal(createPlan(900))).to.equal(undefined)
-    expect(stop.findRefusal(createPlan(901))).to.be.instanceOf(SpoolgateError)
-    expect(stop.findBodyMs()).to.equal(900)
+    expect(shutdown.findRefusal(createPlan(900))).to.equal(undefined)
+    expect(shutdown.findRefusal(createPlan(901))).to.be.instanceOf(SpoolgateError)
+    expect(shutdown.findBodyTimeoutMs()).to.equal(900)
     timers.advance(2_000)
-    expect(stop.findBodyMs()).to.equal(0)
+    expect(shutdown.findBodyTimeoutMs()).to.equal(0)
   })
 })
--- a/packages/router/src/__tests__/quarantineSimulation.spec.ts
+++ b/packages/router/src/__tests__/quarantineSimulation.spec.ts
@@ -5,14 +5,14 @@
  */
 import { expect } from 'chai'
 import {
-  BACK_AFTER_MS,
+  RESTART_MS,
   runQuarantineSimulation,
   type QuarantineSimulationOptions,
-  type KindCount,
+  type RequestCount,
 } from './quarantineSimulation.js'
 
-const SENDS_ALLOWED = 3
-const SHARE_ANSWERED = 0.97
+const MAX_LATE_SENDS = 3
+const MIN_ANSWERED_SHARE = 0.97
 /** The users' bound on recovery once machines are back, in ms. */
 const RECOVERY_MS = 12_000
 
@@ -31,7 +31,7 @@
   { ...SMALL, routers: 410, servers: 600, ordinaryPerSecond: 300, popularPerSecond: 100 },
 ]
 
-function measureShare({ sent, answered }: KindCount): number {
+function measureShare({ sent, answered }: RequestCount): number {
   return answered / sent
 }
 
@@ -39,13 +39,15 @@
   for (const size of SIZES) {
     it(`reach three servers more at most: ${size.routers} routers, ${size.servers} servers`, async () => {
       const { lateSends, ordinary, popular, harmlessHeld } = await runQuarantineSimulation(size)
-      expect(Math.max(...lateSends)).to.be.at.most(SENDS_ALLOWED)
+      expect(Math.max(...lateSends)).to.be.at.most(MAX_LATE_SENDS)
       // The last ones are in flight when the simulation ends.
-      const isLate = ({ sent, answered }: KindCount) => sent - answered
-      expect(measureShare(ordinary), `${isLate(ordinary)} unanswered`).to.be.at.least(
-        SHARE_ANSWERED,
+      const countUnanswered = ({ sent, answered }: RequestCount) => sent - answered
+      expect(measureShare(ordinary), `${countUnanswered(ordinary)} unanswered`).to.be.at.least(
+        MIN_ANSWERED_SHARE,
+      )
+      expect(measureShare(popular), `${countUnanswered(popular)} unanswered`).to.be.at.least(
+        MIN_ANSWERED_SHARE,
       )
-      expect(measureShare(popular), `${isLate(popular)} unanswered`).to.be.at.least(SHARE_ANSWERED)
       expect(harmlessHeld).to.be.at.most(size.servers)
     })
   }
@@ -56,10 +58,10 @@
       const changes = { leaderChanges: [at, at + 3_000], routerStarts: [at + 100, at + 6_000] }
       const countedFrom = at + 6_000 + RECOVERY_MS
       const durationMs = countedFrom + 10_000
-      const play = { ...SMALL, ...changes, seed, countedFrom, durationMs }
-      const { lateSends, popular } = await runQuarantineSimulation(play)
-      expect(Math.max(...lateSends), `seed ${seed}`).to.be.at.most(SENDS_ALLOWED)
-      expect(measureShare(popular), `seed ${seed}`).to.be.at.least(SHARE_ANSWERED)
+      const simulation = { ...SMALL, ...changes, seed, countedFrom, durationMs }
+      const { lateSends, popular } = await runQuarantineSimulation(simulation)
+      expect(Math.max(...lateSends), `seed ${seed}`).to.be.at.most(MAX_LATE_SENDS)
+      expect(measureShare(popular), `seed ${seed}`).to.be.at.least(MIN_ANSWERED_SHARE)
     }
   })
 })
@@ -68,12 +70,12 @@
   it('leave what many callers ask answered within the time that users allow for recovery', async () => {
     for (let seed = 1; seed <= 8; seed += 1) {
       const powerLosses = [1_000, 3_800, 6_600]
-      const countedFrom = 6_600 + BACK_AFTER_MS + RECOVERY_MS
+      const countedFrom = 6_600 + RESTART_MS + RECOVERY_MS
       const durationMs = countedFrom + 10_000
-      const play = { ...SMALL, harmful: 0, powerLosses, seed, countedFrom, durationMs }
-      const { popular, ordinary } = await runQuarantineSimulation(play)
-      expect(measureShare(popular), `seed ${seed}`).to.be.at.least(SHARE_ANSWERED)
-      expect(measureShare(ordinary), `seed ${seed}`).to.be.at.least(SHARE_ANSWERED)
+      const simulation = { ...SMALL, harmful: 0, powerLosses, seed, countedFrom, durationMs }
+      const { popular, ordinary } = await runQuarantineSimulation(simulation)
+      expect(measureShare(popular), `seed ${seed}`).to.be.at.least(MIN_ANSWERED_SHARE)
+      expect(measureShare(ordinary), `seed ${seed}`).to.be.at.least(MIN_ANSWERED_SHARE)
     }
   })
 })
--- a/packages/router/src/__tests__/quarantineSimulation.ts
+++ b/packages/router/src/__tests__/quarantineSimulation.ts
@@ -32,7 +32,7 @@
   readonly seed: number
   /** Instants at which another leader takes over, and at which all routers start again, in ms. */
   readonly leaderChanges?: readonly number[]
-  readonly routerStarts?: readonly number[]
+  readonly routerRestarts?: readonly number[]
   /** Instants at which all servers end at once with nobody to blame, in ms. */
   readonly powerLosses?: readonly number[]
   /**
@@ -44,7 +44,7 @@
 }
 
 /** What became of one kind of request. */
-export interface KindCount {
+export interface RequestCount {
   sent: number
   answered: number
 }
@@ -52,29 +52,29 @@
 /** What a play showed. */
 export interface QuarantineSimulationResult {
   /** Ends of servers under harmful requests. */
-  readonly ends: number
+  readonly crashes: number
   /** By harmful request, sends later than the allowed time after the third end under it. */
   readonly lateSends: readonly number[]
   /** Counts of requests that were sent from {@link QuarantineSimulationOptions.countedFrom} on, but for the last ones. */
-  readonly ordinary: KindCount
-  readonly popular: KindCount
+  readonly ordinary: RequestCount
+  readonly popular: RequestCount
   /** Harmless requests in quarantine at the end. */
   readonly harmlessHeld: number
 }
 
 /** Time after the third end within which routers may not know of it, in ms. */
-export const CONTACT_MS = 3_000
+export const REPORT_DELAY_MS = 3_000
 /** Time after which harmless requests should be answered beside harmful ones, in ms. */
 export const SETTLED_MS = 9_000
 /** Before the end, what is sent is not counted: it may be in flight when the simulation ends. */
 const UNCOUNTED_MS = 2_500
-const ENDS_BORNE = 3
+const CRASHES_ALLOWED = 3
 const STEP_MS = 10
 const HARMFUL_PERIOD_MS = 250
 /** From the start of a harmful request to the end of its server, in ms. */
-const END_AFTER_MS = 40
+const CRASH_AFTER_MS = 40
 /** From the end of a server to its next start, in ms. */
-export const BACK_AFTER_MS = 2_500
+export const RESTART_MS = 2_500
 const WORK_MIN_MS = 100
 const WORK_SPREAD_MS = 900
 /** Time in which a router sees that a server ended, and a leader's entry is in the log, in ms. */
@@ -88,7 +88,7 @@
   readonly fingerprint: RequestFingerprint
   readonly router: number
   readonly isHarmful: boolean
-  readonly count: KindCount | undefined
+  readonly count: RequestCount | undefined
   sends: number
 }
 
@@ -116,7 +116,7 @@
   const logger = createQuietLogger()
   const machine = createControlMachine()
   let term = 1
-  let ends = 0
+  let crashes = 0
   const after = (ms: number, run: () => void) => void timers.after(ms).subscribe(run)
   const member = {
     status: () => ({ term }) as never,
@@ -130,62 +130,64 @@
   let leader = createLeader()
   const createRouter = (): SimulatedRouter => {
     const record = createCrashReportBuffer(timers)
-    const quarantine = createRequestQuarantine({ record, timers, logger })
+    const quarantine = createRequestQuarantine({ crashReports: record, timers, logger })
     return { quarantine, record, term: 0, suspectsSeen: undefined }
   }
   const routers = Array.from({ length: options.routers }, createRouter)
   const servers = Array.from({ length: options.servers }, (_, index): SimulatedServer => {
     return { id: toBackendServerId(`s${index}@1`), starts: 1, isUp: true, running: new Set() }
   })
-  const thirdEndAt: (number | undefined)[] = []
-  const endsUnder: number[] = []
+  const thirdCrashAt: (number | undefined)[] = []
+  const crashesUnder: number[] = []
   const lateSends: number[] = Array.from({ length: options.harmful }, () => 0)
-  const ordinary: KindCount = { sent: 0, answered: 0 }
-  const popular: KindCount = { sent: 0, answered: 0 }
+  const ordinary: RequestCount = { sent: 0, answered: 0 }
+  const popular: RequestCount = { sent: 0, answered: 0 }
 
-  const askLeader = (router: SimulatedRouter) => {
+  const pollLeader = (router: SimulatedRouter) => {
     const unreported = router.record.listUnreported(router.term)
     const trial = leader.record(unreported.report)
     router.record.recordReported(unreported, term)
     if (router.term !== term || router.suspectsSeen !== leader.revision()) {
-      router.quarantine.apply(JSON.parse(JSON.stringify(leader.list())) as SuspectedRequest[])
+      router.quarantine.applySuspects(
+        JSON.parse(JSON.stringify(leader.list())) as SuspectedRequest[],
+      )
     }
-    if (trial !== undefined) router.quarantine.recordTrial(trial)
+    if (trial !== undefined) router.quarantine.grantTrial(trial)
     router.term = term
     router.suspectsSeen = leader.revision()
   }
   const poll = (index: number) => {
-    askLeader(routers[index])
+    pollLeader(routers[index])
     const periodMs = Math.max(POLL_MS, options.routers * POLL_MS_PER_ROUTER)
     after(periodMs * (0.5 + random.next()), () => poll(index))
   }
   /** A router serves nobody before its first answer from control, which brings the table and the suspects. */
   const restartRouter = (index: number) => {
     routers[index] = createRouter()
-    askLeader(routers[index])
+    pollLeader(routers[index])
   }
-  const endServer = (server: SimulatedServer) => {
+  const crashServer = (server: SimulatedServer) => {
     if (!server.isUp) return
     server.isUp = false
-    const lost = [...server.running]
+    const interrupted = [...server.running]
     server.running.clear()
-    for (const lose of lost) lose()
-    after(BACK_AFTER_MS, () => {
+    for (const interrupt of interrupted) interrupt()
+    after(RESTART_MS, () => {
       server.starts += 1
       server.id = toBackendServerId(`${server.id.split('@')[0]}@${server.starts}`)
       server.isUp = true
     })
   }
-  const recordHarm = (harm: number) => {
-    ends += 1
-    endsUnder[harm] = (endsUnder[harm] ?? 0) + 1
-    if (endsUnder[harm] === ENDS_BORNE) thirdEndAt[harm] = timers.now()
+  const recordCrash = (index: number) => {
+    crashes += 1
+    crashesUnder[index] = (crashesUnder[index] ?? 0) + 1
+    if (crashesUnder[index] === CRASHES_ALLOWED) thirdCrashAt[index] = timers.now()
   }
-  const findHarm = ({ fingerprint }: SimulatedRequest) => Number(fingerprint.split('.')[1])
+  const findHarmfulIndex = ({ fingerprint }: SimulatedRequest) => Number(fingerprint.split('.')[1])
   const countSend = (request: SimulatedRequest) => {
     if (!request.isHarmful) return
-    const thirdAt = thirdEndAt[findHarm(request)] ?? Infinity
-    if (timers.now() > thirdAt + CONTACT_MS) lateSends[findHarm(request)] += 1
+    const thirdCrash = thirdCrashAt[findHarmfulIndex(request)] ?? Infinity
+    if (timers.now() > thirdCrash + REPORT_DELAY_MS) lateSends[findHarmfulIndex(request)] += 1
   }
   const send = (request: SimulatedRequest): void => {
     const router = routers[request.router]
@@ -193,28 +195,28 @@
     const admission = router.quarantine.admit(fingerprint)
     const up = servers.filter(({ isUp }) => isUp)
     if (admission.kind === 'refused' || request.sends >= MAX_SENDS) return
-    if (up.length === 0) return admission.giveBack()
+    if (up.length === 0) return admission.returnTrial()
     request.sends += 1
     countSend(request)
     const server = random.choose(up)
     const { id } = server
-    const lose = () => {
+    const interrupt = () => {
       after(DELAY_MS, () => {
-        router.quarantine.recordEnd(id, fingerprint, admission.round)
+        router.quarantine.recordCrash(id, fingerprint, admission.round)
         send(request)
       })
     }
-    server.running.add(lose)
+    server.running.add(interrupt)
     if (request.isHarmful) {
-      after(END_AFTER_MS, () => {
-        if (!server.running.has(lose)) return
-        recordHarm(findHarm(request))
-        endServer(server)
+      after(CRASH_AFTER_MS, () => {
+        if (!server.running.has(interrupt)) return
+        recordCrash(findHarmfulIndex(request))
+        crashServer(server)
       })
       return
     }
     after(WORK_MIN_MS + random.next() * WORK_SPREAD_MS, () => {
-      if (!server.running.delete(lose)) return
+      if (!server.running.delete(interrupt)) return
       router.quarantine.recordAnswered(fingerprint)
       if (request.count) request.count.answered += 1
     })
@@ -222,7 +224,7 @@
   const startRequest = (
     fingerprint: RequestFingerprint,
     isHarmful: boolean,
-    count: KindCount | undefined,
+    count: RequestCount | undefined,
   ) => {
     const isCounted =
       timers.now() >= (options.countedFrom ?? SETTLED_MS) &&
@@ -245,8 +247,8 @@
     startRequest(toRequestFingerprint(`ordinary.${serial}`), false, ordinary)
   })
   repeat(1_000 / options.popularPerSecond, () => startRequest(POPULAR, false, popular))
-  for (let harm = 0; harm < options.harmful; harm += 1) {
-    const fingerprint = toRequestFingerprint(`harmful.${harm}`)
+  for (let index = 0; index < options.harmful; index += 1) {
+    const fingerprint = toRequestFingerprint(`harmful.${index}`)
     repeat(HARMFUL_PERIOD_MS, () => startRequest(fingerprint, true, undefined))
   }
   for (const at of options.leaderChanges ?? []) {
@@ -255,10 +257,10 @@
       leader = createLeader()
     })
   }
-  for (const at of options.routerStarts ?? []) {
+  for (const at of options.routerRestarts ?? []) {
     after(at, () => routers.forEach((_, index) => restartRouter(index)))
   }
-  for (const at of options.powerLosses ?? []) after(at, () => servers.forEach(endServer))
+  for (const at of options.powerLosses ?? []) after(at, () => servers.forEach(crashServer))
   for (let now = 0; now < options.durationMs; now += STEP_MS) {
     timers.advance(STEP_MS)
     await new Promise((resolve) => setImmediate(resolve))
@@ -266,5 +268,5 @@
   const harmlessHeld = machine.quarantine
     .list()
     .filter(({ request }) => !request.startsWith('harmful.')).length
-  return { ends, lateSends, ordinary, popular, harmlessHeld }
+  return { crashes, lateSends, ordinary, popular, harmlessHeld }
 }
--- a/packages/router/src/__tests__/restartDetector.spec.ts
+++ b/packages/router/src/__tests__/restartDetector.spec.ts
@@ -60,19 +60,19 @@
     const timers = createManualTimerService()
     const restarted = new Subject<void>()
     const events: string[] = []
-    let lastSignAt = timers.now()
+    let lastDataAt = timers.now()
     watchStall({
       restarts: { watch: () => restarted },
       timers,
       server: buildServerIdentity(toServerName('i'), 1).id,
-      lastSignAt: () => lastSignAt,
+      lastDataAt: () => lastDataAt,
       onRestart: () => events.push('restarted'),
-      onSilent: () => events.push(`silent ${timers.now()}`),
+      onStall: () => events.push(`silent ${timers.now()}`),
     })
     const sendParts = (count: number) => {
       for (let part = 0; part < count; part += 1) {
         timers.advance(PAUSE_MS)
-        lastSignAt = timers.now()
+        lastDataAt = timers.now()
       }
     }
     return { timers, restarted, events, sendParts }
--- a/packages/router/src/decide/serverSelector.ts
+++ b/packages/router/src/decide/serverSelector.ts
@@ -42,7 +42,7 @@
    * Returns the exact state of a backend server; used by the oracle arm of benchmarks.
    * @default undefined, which ranks by hints only
    */
-  readonly findTruth?: (server: BackendServerId, chain: PrefixChain) => ReplyHints | undefined
+  readonly findExactHints?: (server: BackendServerId, chain: PrefixChain) => ReplyHints | undefined
 }
 
 /** Input of a selection. */
@@ -83,11 +83,11 @@
 const OTHER_REGION_MS = 25
 const PROBE_TIMEOUT_MS = 500
 /** Largest fleet per model in which uncertain choices are probed; above it probes would cost too much bandwidth. */
-const MAX_PROBED_FLEET = 24
+const MAX_PROBED_FLEET_SIZE = 24
 /** Maximum number of candidates per log line. */
 const LOGGED_CANDIDATES = 4
 /** Levels of a hint table created for one decision; a table of the default size takes 20 ms to set up. */
-const TRUTH_LEVELS = 64
+const EXACT_HINT_LEVELS = 64
 /** Estimation error that does not justify another hop, in ms. */
 const ACCEPT_TOLERANCE_MS = 30
 const MIN_TAIL_WEIGHT = 0.1
@@ -97,11 +97,14 @@
  * Returns the time to the first token above which the second candidate is better than the first, in ms; undefined for
  * policies without an estimate.
  */
-function findAcceptMs(ranked: readonly RankedCandidate[], tailWeight: number): number | undefined {
+function findMaxFirstTokenMs(
+  ranked: readonly RankedCandidate[],
+  tailWeight: number,
+): number | undefined {
   const [first, second] = ranked
   if (first?.firstTokenMs === undefined || !second) return undefined
-  const lead = (second.score - first.score) / Math.max(tailWeight, MIN_TAIL_WEIGHT)
-  return first.firstTokenMs + lead + ACCEPT_TOLERANCE_MS
+  const margin = (second.score - first.score) / Math.max(tailWeight, MIN_TAIL_WEIGHT)
+  return first.firstTokenMs + margin + ACCEPT_TOLERANCE_MS
 }
 
 /** Creates a server selector. */
@@ -117,8 +120,8 @@
     const { arms } = parameters
     if (arms.length === 1) return arms[0].policy
     const total = arms.reduce((sum, arm) => sum + arm.share, 0)
-    let point = ((hashText(session) % ARM_RESOLUTION) / ARM_RESOLUTION) * total
-    return (arms.find((arm) => (point -= arm.share) < 0) ?? arms[0]).policy
+    let remaining = ((hashText(session) % ARM_RESOLUTION) / ARM_RESOLUTION) * total
+    return (arms.find((arm) => (remaining -= arm.share) < 0) ?? arms[0]).policy
   }
   const createFilter = (request: SelectionRequest, servers: readonly BackendServer[]) => {
     const { parameters, excluded, weightsVersion } = request
@@ -138,7 +141,11 @@
     // its sidecar decides again.
     return servers.some(isPreferred) ? isPreferred : isUsable
   }
-  const rank = (request: SelectionRequest, policy: PolicyName, seen: PolicyState = state) => {
+  const rank = (
+    request: SelectionRequest,
+    policy: PolicyName,
+    policyState: PolicyState = state,
+  ) => {
     const servers = request.fleet.backendServersByTarget.get(request.target) ?? []
     return POLICIES[policy].rank({
       chain: request.chain,
@@ -148,12 +155,12 @@
       slowStartMs: (server) => ejection.findSlowStartMs(server, timers.now()),
       parameters: request.parameters,
       boundedLoadFactor: request.fleet.routing.boundedLoadFactor,
-      state: seen,
+      state: policyState,
       random,
       now: timers.now(),
     })
   }
-  const recordTruth = (table: HintTable, chain: PrefixChain, hints: ReplyHints) => {
+  const recordHints = (table: HintTable, chain: PrefixChain, hints: ReplyHints) => {
     const now = timers.now()
     table.record(hints, now)
     table.recordCached(chain, hints, hints.matchedTokens, now)
@@ -170,46 +177,50 @@
         timeoutMs: PROBE_TIMEOUT_MS,
       })
       const hints = (await readJson(message, INTERNAL_BODY_LIMITS)) as ReplyHints
-      if (message.statusCode === 200) recordTruth(state.hints, chain, hints)
+      if (message.statusCode === 200) recordHints(state.hints, chain, hints)
     } catch {
       ejection.record(id, 'failed', timers.now())
     }
   }
-  const chooseProbed = async (request: SelectionRequest, policy: PolicyName, count: number) => {
+  const chooseAmongProbed = async (
+    request: SelectionRequest,
+    policy: PolicyName,
+    count: number,
+  ) => {
     const first = rank(request, policy).slice(0, count)
     await Promise.all(first.map((candidate) => probe(candidate, request.chain)))
-    const asked = new Set(first.map(({ server }) => server.id))
-    return rank(request, policy).filter(({ server }) => asked.has(server.id))
+    const probed = new Set(first.map(({ server }) => server.id))
+    return rank(request, policy).filter(({ server }) => probed.has(server.id))
   }
   /** Ranks with the exact state from `findExactHints` instead of the remembered hints. */
-  const rankWithTruth = (
+  const rankWithExactHints = (
     request: SelectionRequest,
     policy: PolicyName,
-    findTruth: NonNullable<ServerSelectorOptions['findTruth']>,
+    findExactHints: NonNullable<ServerSelectorOptions['findExactHints']>,
   ) => {
-    const hints = createHintTable({ isComplete: true, maxLevels: TRUTH_LEVELS })
+    const hints = createHintTable({ isComplete: true, maxLevels: EXACT_HINT_LEVELS })
     for (const server of request.fleet.backendServersByTarget.get(request.target) ?? []) {
-      const truth = findTruth(server.id, request.chain)
-      if (truth) recordTruth(hints, request.chain, truth)
+      const exactHints = findExactHints(server.id, request.chain)
+      if (exactHints) recordHints(hints, request.chain, exactHints)
     }
     return rank(request, policy, { ...state, hints })
   }
-  const rankFor = (request: SelectionRequest, policy: PolicyName) => {
+  const rankCandidates = (request: SelectionRequest, policy: PolicyName) => {
     const { probes, probesInDoubt = 0 } = POLICIES[policy]
-    if (probes > 0) return chooseProbed(request, policy, probes)
-    if (options.findTruth) return rankWithTruth(request, policy, options.findTruth)
+    if (probes > 0) return chooseAmongProbed(request, policy, probes)
+    if (options.findExactHints) return rankWithExactHints(request, policy, options.findExactHints)
     const ranked = rank(request, policy)
     const fleetSize = request.fleet.backendServersByTarget.get(request.target)?.length ?? 0
-    const isDoubtful = ranked[0]?.isGuess === true && request.chain.levels.length > 0
-    if (!isDoubtful || probesInDoubt === 0 || fleetSize > MAX_PROBED_FLEET) return ranked
-    return chooseProbed(request, policy, probesInDoubt)
+    const isUncertain = ranked[0]?.isGuess === true && request.chain.levels.length > 0
+    if (!isUncertain || probesInDoubt === 0 || fleetSize > MAX_PROBED_FLEET_SIZE) return ranked
+    return chooseAmongProbed(request, policy, probesInDoubt)
   }
 
   return {
     findPolicy,
     choose: async (request) => {
       const policy = findPolicy(request)
-      const ranked = await rankFor(request, policy)
+      const ranked = await rankCandidates(request, policy)
       const chosen = ranked.at(0)
       if (!chosen) return undefined
       options.decisions.recordDecision(request.request, {
@@ -225,7 +236,7 @@
           reason,
         })),
       })
-      const acceptMs = findAcceptMs(ranked, request.parameters.tailWeight)
+      const acceptMs = findMaxFirstTokenMs(ranked, request.parameters.tailWeight)
       return { chosen, policy, acceptMs }
     },
   }
--- a/packages/router/src/direct/crashDetector.ts
+++ b/packages/router/src/direct/crashDetector.ts
@@ -16,13 +16,13 @@
   readonly timers: TimerService
   readonly logger: Logger
   /** Called for each send that was interrupted by a crash of its server. */
-  readonly onEnd: (server: BackendServerId, send: InterruptedSend) => void
+  readonly onCrash: (server: BackendServerId, send: InterruptedSend) => void
 }
 
 /** See {@link createCrashDetector}. */
 export interface CrashDetector {
   /** Records a send that was interrupted. */
-  recordLost(server: ProbedServer, send: InterruptedSend): void
+  recordInterrupted(server: ProbedServer, send: InterruptedSend): void
   close(): void
 }
 
@@ -30,10 +30,10 @@
 interface CrashCheck {
   readonly server: ProbedServer
   /** Sends after which the server has not been checked yet. */
-  fresh: InterruptedSend[]
+  unchecked: InterruptedSend[]
   /** Sends after which the server accepted connections; it may have crashed and restarted already. */
-  older: readonly InterruptedSend[]
-  isLooking: boolean
+  unconfirmed: readonly InterruptedSend[]
+  isChecking: boolean
 }
 
 /**
@@ -46,64 +46,69 @@
 
 /** Creates a crash detector. */
 export function createCrashDetector(options: CrashDetectorOptions): CrashDetector {
-  const { liveness, timers, logger, onEnd } = options
-  const ended = new LRUCache<BackendServerId, true>({ max: MAX_CRASHED })
-  const doubts = new Map<BackendServerId, CrashCheck>()
+  const { liveness, timers, logger, onCrash } = options
+  const crashed = new LRUCache<BackendServerId, true>({ max: MAX_CRASHED })
+  const checks = new Map<BackendServerId, CrashCheck>()
 
-  const confirm = (doubt: CrashCheck, sends: readonly InterruptedSend[], shownBy: string) => {
-    const { id, address } = doubt.server
-    doubts.delete(id)
-    ended.set(id, true)
+  const confirmCrash = (check: CrashCheck, sends: readonly InterruptedSend[], shownBy: string) => {
+    const { id, address } = check.server
+    checks.delete(id)
+    crashed.set(id, true)
     logger.warn('server.ended', { server: id, address, shownBy, sends: sends.length })
-    for (const send of sends) onEnd(id, send)
+    for (const send of sends) onCrash(id, send)
   }
   /** Keeps interrupted sends for a while in case a restart is reported. */
-  const addOlder = (doubt: CrashCheck, sends: readonly InterruptedSend[]) => {
-    doubt.older = [...doubt.older, ...sends]
+  const addUnconfirmed = (check: CrashCheck, sends: readonly InterruptedSend[]) => {
+    check.unconfirmed = [...check.unconfirmed, ...sends]
     timers.after(RESTART_REPORT_MS).subscribe(() => {
-      doubt.older = doubt.older.filter((send) => !sends.includes(send))
-      const isOver = doubt.older.length + doubt.fresh.length === 0 && !doubt.isLooking
-      if (isOver && doubts.get(doubt.server.id) === doubt) doubts.delete(doubt.server.id)
+      check.unconfirmed = check.unconfirmed.filter((send) => !sends.includes(send))
+      const isOver = check.unconfirmed.length + check.unchecked.length === 0 && !check.isChecking
+      if (isOver && checks.get(check.server.id) === check) checks.delete(check.server.id)
     })
   }
   /**
    * Checks the server again for sends that were interrupted after the last check started. An earlier interruption may
    * have had another cause, so reusing its result could miss a crash that happened since.
    */
-  const look = async (doubt: CrashCheck) => {
-    const { server } = doubt
-    if (doubt.isLooking) return
-    doubt.isLooking = true
-    while (doubt.fresh.length > 0) {
-      const sends = doubt.fresh
-      doubt.fresh = []
+  const checkServer = async (check: CrashCheck) => {
+    const { server } = check
+    if (check.isChecking) return
+    check.isChecking = true
+    while (check.unchecked.length > 0) {
+      const sends = check.unchecked
+      check.unchecked = []
       const isAlive = await liveness.checkAlive(server)
-      if (ended.has(server.id)) {
-        for (const send of [...sends, ...doubt.fresh]) onEnd(server.id, send)
+      if (crashed.has(server.id)) {
+        for (const send of [...sends, ...check.unchecked]) onCrash(server.id, send)
         return
       }
-      if (!isAlive) return confirm(doubt, [...sends, ...doubt.fresh], 'no connections')
-      addOlder(doubt, sends)
+      if (!isAlive) return confirmCrash(check, [...sends, ...check.unchecked], 'no connections')
+      addUnconfirmed(check, sends)
     }
-    doubt.isLooking = false
+    check.isChecking = false
   }
-  const watching = options.views.subscribe(({ servers }) => {
-    if (doubts.size === 0) return
+  const subscription = options.views.subscribe(({ servers }) => {
+    if (checks.size === 0) return
     const addresses = new Set([...servers.values()].map(({ address }) => address))
-    for (const doubt of doubts.values()) {
-      const { id, address } = doubt.server
+    for (const check of checks.values()) {
+      const { id, address } = check.server
       const isReplaced = !servers.has(id) && addresses.has(address)
-      if (isReplaced) confirm(doubt, doubt.older, 'a later start')
+      if (isReplaced) confirmCrash(check, check.unconfirmed, 'a later start')
     }
   })
   return {
-    recordLost: (server, send) => {
-      if (ended.has(server.id)) return onEnd(server.id, send)
-      const doubt = doubts.get(server.id) ?? { server, fresh: [], older: [], isLooking: false }
-      doubts.set(server.id, doubt)
-      doubt.fresh.push(send)
-      void look(doubt)
+    recordInterrupted: (server, send) => {
+      if (crashed.has(server.id)) return onCrash(server.id, send)
+      const check = checks.get(server.id) ?? {
+        server,
+        unchecked: [],
+        unconfirmed: [],
+        isChecking: false,
+      }
+      checks.set(server.id, check)
+      check.unchecked.push(send)
+      void checkServer(check)
     },
-    close: () => watching.unsubscribe(),
+    close: () => subscription.unsubscribe(),
   }
 }
--- a/packages/router/src/direct/directParts.ts
+++ b/packages/router/src/direct/directParts.ts
@@ -54,8 +54,8 @@
   readonly split: WorkSplit
   readonly times: WorkTimes
   readonly retries: RetryShare
-  readonly restarts: Pick<RestartDetector, 'watch'>
-  readonly exits: Pick<CrashDetector, 'recordLost'>
+  readonly restartDetector: Pick<RestartDetector, 'watch'>
+  readonly crashDetector: Pick<CrashDetector, 'recordInterrupted'>
   readonly quarantine: Pick<RequestQuarantine, 'admit' | 'recordAnswered'>
   readonly timers: TimerService
   /** Turns in which requests are sent. */
@@ -64,7 +64,7 @@
   readonly logger: Logger
   readonly rejectedInputs: Pick<RejectedInputs, 'record'>
   readonly instruments: DirectInstruments
-  readonly stop: Pick<GracefulShutdown, 'findRefusal'>
+  readonly shutdown: Pick<GracefulShutdown, 'findRefusal'>
   /** Age of the proof of the newest table beyond which keys are not trusted, in ms. */
   readonly maxProofAgeMs: number
 }
--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -178,8 +178,8 @@
     // A place that is no server is a store.
     return Math.max(0, ...(view?.index.table.stores.map(({ cacheTokens }) => cacheTokens) ?? []))
   }
-  const blame = createCrashReportBuffer(timers)
-  const quarantine = createRequestQuarantine({ record: blame, timers, logger })
+  const crashReports = createCrashReportBuffer(timers)
+  const quarantine = createRequestQuarantine({ crashReports, timers, logger })
   const credits = createQuotaCredits({
     router: options.instance,
     life: createUniqueId('router'),
@@ -203,7 +203,7 @@
     decodeTable: options.decodeTable,
     listLoads: () => addBackoffs(board.listLoads(), backpressure.listBackingOff(timers.now())),
     takePlacements: memory.takePlacements,
-    blame,
+    blame: crashReports,
     limits: {
       listUnreported: (term) => limits.listUnreported(term, timers.now()),
       recordAcknowledged: limits.recordAcknowledged,
@@ -216,8 +216,8 @@
       buildReport: (now) => credits.buildReport([], now),
       applyGrants: credits.applyGrants,
     },
-    onSuspects: quarantine.apply,
-    onTrial: quarantine.recordTrial,
+    onSuspects: quarantine.applySuspects,
+    onTrial: quarantine.grantTrial,
     onPlacements: (placements) => {
       for (const placement of placements) memory.record(placement)
     },
@@ -226,8 +226,8 @@
     },
   })
   const instruments = createInstruments(metrics)
-  const stop = createGracefulShutdown({ timers, logger, cutOff: instruments.cutOff })
-  const restarts = createRestartDetector({
+  const shutdown = createGracefulShutdown({ timers, logger, cutOff: instruments.cutOff })
+  const restartDetector = createRestartDetector({
     views: feed.changes,
     agent,
     logger,
@@ -236,17 +236,17 @@
       limits.carryOver(before, after, timers.now())
     },
   })
-  const exits = createCrashDetector({
+  const crashDetector = createCrashDetector({
     liveness,
     views: feed.changes,
     timers,
     logger,
-    onEnd: (server, { request, round }) => quarantine.recordEnd(server, request, round),
+    onCrash: (server, { request, round }) => quarantine.recordCrash(server, request, round),
   })
   metrics.gauge(
     'quarantined_requests',
     'Requests that are refused, since servers ended under them',
-    quarantine.countHeld,
+    quarantine.countQuarantined,
   )
   metrics.gauge(
     'backing_off_servers',
@@ -274,8 +274,8 @@
       bounds: options.retryBounds,
       countRouters: () => feed.current()?.routers ?? 1,
     }),
-    restarts,
-    exits,
+    restartDetector,
+    crashDetector,
     quarantine,
     timers,
     turns: createTurnQueue(),
@@ -283,7 +283,7 @@
     logger,
     rejectedInputs,
     instruments,
-    stop,
+    shutdown,
     maxProofAgeMs: options.maxProofAgeMs,
   }
   /** A router that has just started gets its table within a second; its callers wait for that. */
@@ -314,11 +314,11 @@
       const plan = resolveCall(parts, call, arrivedAt)
       tracked.recordPlan(plan)
       const { maxBodyBytes } = plan.view.index.table.bounds
-      const timeoutMs = Math.min(BODY_TIMEOUT_MS, stop.findBodyMs())
+      const timeoutMs = Math.min(BODY_TIMEOUT_MS, shutdown.findBodyTimeoutMs())
       const body = await readBody(request, { maxBytes: maxBodyBytes, timeoutMs })
       if (response.destroyed) return
       // Not before the body is read: a connection that ends with unread bytes may lose its answer.
-      const refusal = stop.findRefusal(plan)
+      const refusal = shutdown.findRefusal(plan)
       if (refusal) throw refusal
       await serveCall(parts, plan, body, response)
     } catch (cause) {
@@ -350,7 +350,7 @@
     socket.once('close', () => sockets.delete(socket))
   })
   server.on('request', (request, response) => {
-    const tracked = stop.add(request, response)
+    const tracked = shutdown.track(request, response)
     if (tracked) void serve(request, response, tracked)
   })
   const boundsWatch = feed.changes.subscribe(({ index }) => {
@@ -365,24 +365,24 @@
     port,
     feed,
     findUnreadyReason: () => {
-      if (stop.isStopping()) return 'stopping'
+      if (shutdown.isStopping()) return 'stopping'
       if (!feed.current()) return 'no routing table yet'
       return feed.proofAgeMs() > options.maxProofAgeMs ? 'control is out of reach' : undefined
     },
     renderMetrics: metrics.render,
     close: async (drainMs) => {
-      stop.start(drainMs)
+      shutdown.start(drainMs)
       await waitFor(timers, Math.min(SERVE_ON_MS, drainMs))
       // Timers run before sockets are read: what has arrived meanwhile is not idle.
       await parts.turns.take()
       server.close()
       server.closeIdleConnections()
-      await stop.waitUntilIdle()
-      const abandoned = stop.reportCutOff()
+      await shutdown.waitUntilIdle()
+      const abandoned = shutdown.reportCutOff()
       for (const socket of sockets) socket.destroy()
       boundsWatch.unsubscribe()
-      restarts.close()
-      exits.close()
+      restartDetector.close()
+      crashDetector.close()
       liveness.close()
       await feed.close()
       agent.destroy()
--- a/packages/router/src/direct/gracefulShutdown.ts
+++ b/packages/router/src/direct/gracefulShutdown.ts
@@ -30,7 +30,7 @@
    * Returns how long a request body may take to arrive so that the request can still be answered, in ms;
    * Infinity while no shutdown is in progress.
    */
-  findBodyMs(): number
+  findBodyTimeoutMs(): number
   /**
    * Returns the error for a request that must not be forwarded because its deadline lies after the end of the
    * shutdown; undefined if it may be forwarded.
@@ -40,7 +40,7 @@
    * Tracks a request that has just arrived until its response is closed. Returns undefined if an earlier response
    * has already announced the close of its connection, so that no response can be sent on it.
    */
-  add(request: IncomingMessage, response: ServerResponse): TrackedRequest | undefined
+  track(request: IncomingMessage, response: ServerResponse): TrackedRequest | undefined
   /** Starts the shutdown; requests still in progress after `drainMs` are cut off. */
   start(drainMs: number): void
   /** Waits until no request is in progress or `drainMs` has elapsed. */
@@ -58,13 +58,13 @@
 }
 
 /** Interval at which a shutdown checks for requests in progress, in ms. */
-const POLL_IDLE_MS = 20
+const IDLE_CHECK_INTERVAL_MS = 20
 /** Time reserved for the error response to a request that reaches its deadline, in ms: five idle checks. */
-const FINAL_ANSWER_MS = 5 * POLL_IDLE_MS
+const FINAL_RESPONSE_MS = 5 * IDLE_CHECK_INTERVAL_MS
 /** Retry-After of requests rejected by a router that is shutting down, in s; the retry may go to another router. */
-const TURN_ELSEWHERE_S = 0.05
+const RETRY_AFTER_S = 0.05
 /** Maximum number of cut-off requests logged individually: half of the lines that a process may log per second. */
-const MAX_CUT_OFF_LINES = 100
+const MAX_CUT_OFF_LOGS = 100
 
 interface RequestInProgress {
   readonly response: ServerResponse
@@ -86,11 +86,11 @@
 export function createGracefulShutdown(options: GracefulShutdownOptions): GracefulShutdown {
   const { timers, logger, cutOff } = options
   const inProgress = new Set<RequestInProgress>()
-  const ends = createConnectionEnds(logger)
+  const connectionEnds = createConnectionEnds(logger)
   let startedAt: number | undefined
   let stopsAt = Infinity
 
-  const sendLine = ({ response, arrivedAt, isLate, call, plan }: RequestInProgress) => {
+  const logCutOff = ({ response, arrivedAt, isLate, call, plan }: RequestInProgress) => {
     const now = timers.now()
     logger.warn('call.cutOff', {
       request: call?.id,
@@ -103,18 +103,18 @@
   }
   return {
     isStopping: () => startedAt !== undefined,
-    findBodyMs: () => Math.max(0, stopsAt - FINAL_ANSWER_MS - timers.now()),
+    findBodyTimeoutMs: () => Math.max(0, stopsAt - FINAL_RESPONSE_MS - timers.now()),
     // Only the request's own deadline is considered: the durations of other requests do not predict this one's, and
     // whatever is still running at the end is cut off.
     findRefusal: ({ deadline }) => {
-      if (deadline + FINAL_ANSWER_MS <= stopsAt) return undefined
+      if (deadline + FINAL_RESPONSE_MS <= stopsAt) return undefined
       const now = timers.now()
       return new SpoolgateError('instanceStopping', 'this instance stops; send it to another one', {
-        retryAfterSeconds: TURN_ELSEWHERE_S,
+        retryAfterSeconds: RETRY_AFTER_S,
         details: { limitMs: deadline - now, leftMs: stopsAt - now },
       })
     },
-    add: (request, response) => {
+    track: (request, response) => {
       const tracked: RequestInProgress = {
         response,
         arrivedAt: timers.now(),
@@ -122,7 +122,8 @@
         call: undefined,
         plan: undefined,
       }
-      if (!ends.take(request, response, () => inProgress.delete(tracked))) return undefined
+      if (!connectionEnds.take(request, response, () => inProgress.delete(tracked)))
+        return undefined
       inProgress.add(tracked)
       return {
         recordCall: (call) => {
@@ -134,7 +135,7 @@
       }
     },
     start: (drainMs) => {
-      ends.start()
+      connectionEnds.start()
       startedAt = timers.now()
       stopsAt = startedAt + drainMs
       logger.info('router.stopping', {
@@ -144,11 +145,12 @@
       })
     },
     waitUntilIdle: async () => {
-      while (inProgress.size > 0 && timers.now() < stopsAt) await waitFor(timers, POLL_IDLE_MS)
+      while (inProgress.size > 0 && timers.now() < stopsAt)
+        await waitFor(timers, IDLE_CHECK_INTERVAL_MS)
     },
     reportCutOff: () => {
       const abandoned = inProgress.size
-      for (const tracked of [...inProgress].slice(0, MAX_CUT_OFF_LINES)) sendLine(tracked)
+      for (const tracked of [...inProgress].slice(0, MAX_CUT_OFF_LOGS)) logCutOff(tracked)
       if (abandoned > 0) cutOff.add(abandoned)
       logger.info('router.stopped', {
         abandoned,
--- a/packages/router/src/direct/requestQuarantine.ts
+++ b/packages/router/src/direct/requestQuarantine.ts
@@ -12,7 +12,7 @@
 
 /** Options of {@link createRequestQuarantine}. */
 export interface RequestQuarantineOptions {
-  readonly record: CrashReportBuffer
+  readonly crashReports: CrashReportBuffer
   readonly timers: TimerService
   readonly logger: Logger
 }
@@ -23,7 +23,7 @@
   /** Quarantine round for which this send is the trial; 0 if it is not a trial. */
   readonly round: number
   /** Returns the trial when no server was available or the server did not accept the request. */
-  giveBack(): void
+  returnTrial(): void
 }
 
 /** A request that may not be sent. */
@@ -42,13 +42,13 @@
   /** Records that a request was answered completely. */
   recordAnswered(request: RequestFingerprint): void
   /** Records that a server crashed during a send. */
-  recordEnd(server: BackendServerId, request: RequestFingerprint, round: number): void
+  recordCrash(server: BackendServerId, request: RequestFingerprint, round: number): void
   /** Replaces the set of requests that control suspects or has quarantined. */
-  apply(suspects: readonly SuspectedRequest[]): void
+  applySuspects(suspects: readonly SuspectedRequest[]): void
   /** Grants one trial send of a quarantined request. */
-  recordTrial(request: RequestFingerprint): void
+  grantTrial(request: RequestFingerprint): void
   /** Counts the quarantined requests. */
-  countHeld(): number
+  countQuarantined(): number
 }
 
 /** A granted trial, which the next send of the request uses. */
@@ -58,57 +58,57 @@
 }
 
 /** Time that an unused trial stays valid, in ms; after that control may grant it to another router. */
-const TRIAL_MS = 2_000
+const TRIAL_TIMEOUT_MS = 2_000
 /**
  * Lower bound on the Retry-After of a quarantined request, in ms. It may exceed the quarantine because a harmless
  * request is tried with the sends of other callers.
  */
-const MIN_COME_BACK_MS = 60_000
+const MIN_RETRY_AFTER_MS = 60_000
 
-const ADMITTED: Admission = { kind: 'admitted', round: 0, giveBack: () => {} }
+const ADMITTED: Admission = { kind: 'admitted', round: 0, returnTrial: () => {} }
 
 /** Creates an empty quarantine. */
 export function createRequestQuarantine(options: RequestQuarantineOptions): RequestQuarantine {
-  const { record, timers, logger } = options
+  const { crashReports, timers, logger } = options
   /** Quarantine round by request, as reported by control; 0 for requests that are only suspected. */
   let rounds: ReadonlyMap<RequestFingerprint, number> = new Map()
   let trial: Trial | undefined
 
   const takeTrial = (request: RequestFingerprint, round: number): Admission | undefined => {
-    const taken = trial
-    if (taken?.request !== request || taken.isUsed) return undefined
-    taken.isUsed = true
-    const giveBack = () => {
-      taken.isUsed = false
+    const pendingTrial = trial
+    if (pendingTrial?.request !== request || pendingTrial.isUsed) return undefined
+    pendingTrial.isUsed = true
+    const returnTrial = () => {
+      pendingTrial.isUsed = false
     }
-    return { kind: 'admitted', round, giveBack }
+    return { kind: 'admitted', round, returnTrial }
   }
   const refuse = (round: number): Refusal => {
-    const leftMs = Math.max(MIN_COME_BACK_MS, findQuarantineMs(round))
+    const leftMs = Math.max(MIN_RETRY_AFTER_MS, findQuarantineMs(round))
     return { kind: 'refused', round, leftMs }
   }
   return {
     admit: (request) => {
       const round = rounds.get(request) ?? 0
       if (round > 0) {
-        const tried = takeTrial(request, round)
-        if (tried) return tried
-        record.addAsked(request)
+        const trialAdmission = takeTrial(request, round)
+        if (trialAdmission) return trialAdmission
+        crashReports.addRejected(request)
         return refuse(round)
       }
       // Decides locally only on crashes that no leader has received: once reported, the leader's decision applies.
-      return record.countUnreportedExits(request) >= CRASHES_TO_QUARANTINE
+      return crashReports.countUnreportedCrashes(request) >= CRASHES_TO_QUARANTINE
         ? refuse(round)
         : ADMITTED
     },
     recordAnswered: (request) => {
-      if (rounds.has(request)) record.addAnswered(request)
-      else record.removeEnds(request)
+      if (rounds.has(request)) crashReports.addAnswered(request)
+      else crashReports.removeCrashes(request)
     },
-    recordEnd: (server, request, round) => record.addEnd(server, { request, round }),
-    apply: (suspects) => {
-      const next = new Map(suspects.map(({ request, round }) => [request, round]))
-      for (const [request, round] of next) {
+    recordCrash: (server, request, round) => crashReports.addCrash(server, { request, round }),
+    applySuspects: (suspects) => {
+      const updatedRounds = new Map(suspects.map(({ request, round }) => [request, round]))
+      for (const [request, round] of updatedRounds) {
         if (round > (rounds.get(request) ?? 0)) {
           logger.warn('request.held', {
             fingerprint: request,
@@ -118,21 +118,21 @@
         }
       }
       for (const [request, round] of rounds) {
-        if (next.has(request)) continue
-        record.removeEnds(request)
+        if (updatedRounds.has(request)) continue
+        crashReports.removeCrashes(request)
         logger.info('request.cleared', { fingerprint: request, round })
       }
-      rounds = next
+      rounds = updatedRounds
     },
-    recordTrial: (request) => {
-      const given: Trial = { request, isUsed: false }
-      trial = given
-      timers.after(TRIAL_MS).subscribe(() => {
-        if (!given.isUsed) record.addUntried(request)
-        if (trial === given) trial = undefined
+    grantTrial: (request) => {
+      const granted: Trial = { request, isUsed: false }
+      trial = granted
+      timers.after(TRIAL_TIMEOUT_MS).subscribe(() => {
+        if (!granted.isUsed) crashReports.addUnusedTrial(request)
+        if (trial === granted) trial = undefined
       })
       logger.info('request.mayBeTried', { fingerprint: request, round: rounds.get(request) })
     },
-    countHeld: () => [...rounds.values()].filter((round) => round > 0).length,
+    countQuarantined: () => [...rounds.values()].filter((round) => round > 0).length,
   }
 }
--- a/packages/router/src/direct/restartDetector.ts
+++ b/packages/router/src/direct/restartDetector.ts
@@ -36,10 +36,10 @@
   /** Incarnation that the call was sent to, as far as the router knows. */
   readonly server: BackendServerId
   /** Returns when the last part of the response arrived, in ms of the monotonic clock. */
-  readonly lastSignAt: () => number
+  readonly lastDataAt: () => number
   readonly onRestart: () => void
   /** Called when no data has arrived for {@link STALL_TIMEOUT_MS} after the restart of the server. */
-  readonly onSilent: () => void
+  readonly onStall: () => void
 }
 
 /**
@@ -51,28 +51,28 @@
 
 /** Watches a call for a restart of its server, and for a stall after the restart. */
 export function watchStall(options: StallWatchOptions): Subscription {
-  const { restarts, timers, server, lastSignAt, onRestart, onSilent } = options
-  const waitUntilSilent = (restartedAt: number): Observable<unknown> => {
-    const silentSince = Math.max(restartedAt, lastSignAt())
-    const leftMs = silentSince + STALL_TIMEOUT_MS - timers.now()
+  const { restarts, timers, server, lastDataAt, onRestart, onStall } = options
+  const waitUntilStalled = (restartedAt: number): Observable<unknown> => {
+    const idleSince = Math.max(restartedAt, lastDataAt())
+    const leftMs = idleSince + STALL_TIMEOUT_MS - timers.now()
     return leftMs > 0
-      ? timers.after(leftMs).pipe(switchMap(() => waitUntilSilent(restartedAt)))
+      ? timers.after(leftMs).pipe(switchMap(() => waitUntilStalled(restartedAt)))
       : of(undefined)
   }
   return restarts
     .watch(server)
     .pipe(
       tap(onRestart),
-      switchMap(() => waitUntilSilent(timers.now())),
+      switchMap(() => waitUntilStalled(timers.now())),
     )
-    .subscribe(onSilent)
+    .subscribe(onStall)
 }
 
 /** Creates a restart detector. */
 export function createRestartDetector(options: RestartDetectorOptions): RestartDetector {
   const { agent, logger } = options
-  const ended = new Subject<BackendServerId>()
-  let known: ReadonlyMap<ServerName, RegisteredServer> = new Map()
+  const restarted = new Subject<BackendServerId>()
+  let knownServers: ReadonlyMap<ServerName, RegisteredServer> = new Map()
 
   const recordRestart = (before: RegisteredServer, server: RegisteredServer) => {
     logger.info('server.restarted', {
@@ -83,23 +83,23 @@
     })
     options.onRestart?.(before.id, server.id)
     agent.closeIdle(before.address)
-    ended.next(before.id)
+    restarted.next(before.id)
   }
-  const look = ({ servers }: Pick<FleetView, 'servers'>) => {
+  const detectRestarts = ({ servers }: Pick<FleetView, 'servers'>) => {
     const next = new Map([...servers.values()].map((server) => [server.name, server]))
     for (const [name, server] of next) {
-      const before = known.get(name)
+      const before = knownServers.get(name)
       if (before && before.id !== server.id) recordRestart(before, server)
     }
-    known = next
+    knownServers = next
   }
-  const looking = options.views.subscribe(look)
+  const subscription = options.views.subscribe(detectRestarts)
   return {
     watch: (id) =>
-      ended.pipe(
+      restarted.pipe(
         filter((other) => other === id),
         map(() => undefined),
       ),
-    close: () => looking.unsubscribe(),
+    close: () => subscription.unsubscribe(),
   }
 }
--- a/packages/router/src/direct/sendAdmission.ts
+++ b/packages/router/src/direct/sendAdmission.ts
@@ -50,13 +50,13 @@
   }
   const held = parts.quarantine.admit(state.fingerprint)
   if (held.kind === 'refused') {
-    quota.giveBack()
+    quota.refund()
     log('call.quarantined', { round: held.round, leftMs: held.leftMs })
     return refuse(createQuarantineError(held.leftMs))
   }
   const giveBack = () => {
-    quota.giveBack()
-    held.giveBack()
+    quota.refund()
+    held.returnTrial()
   }
   const choice = chooseSend(parts, plan, state, log)
   if (choice.kind === 'server') {
--- a/packages/router/src/direct/sendQuota.ts
+++ b/packages/router/src/direct/sendQuota.ts
@@ -17,10 +17,10 @@
   /** Undefined if the send is admitted. */
   readonly refusal: QuotaRefusal | undefined
   /** Returns the quota taken by a send that no server ran. */
-  readonly giveBack: () => void
+  readonly refund: () => void
 }
 
-const NO_LIMIT: QuotaDecision = { refusal: undefined, giveBack: () => {} }
+const UNLIMITED: QuotaDecision = { refusal: undefined, refund: () => {} }
 
 function measureCost(parts: DirectParts, { unit, uncountedTokens }: TeamQuota, call: DirectCall) {
   if (unit === 'requests') return 1
@@ -35,11 +35,11 @@
 export async function takeQuota(parts: DirectParts, plan: CallPlan): Promise<QuotaDecision> {
   const { team, call } = plan
   const quota = team?.quota
-  if (!team || !quota) return NO_LIMIT
-  const use = { team: team.id, quota, cost: measureCost(parts, quota, call) }
-  const verdict = await parts.quotas.admit(use)
+  if (!team || !quota) return UNLIMITED
+  const charge = { team: team.id, quota, cost: measureCost(parts, quota, call) }
+  const verdict = await parts.quotas.admit(charge)
   if (verdict.kind === 'admitted') {
-    return { refusal: undefined, giveBack: () => parts.quotas.giveBack(use) }
+    return { refusal: undefined, refund: () => parts.quotas.giveBack(charge) }
   }
   const { perSecond, burst, unit } = quota
   const retryAfterSeconds = drawRetryAfterSeconds(verdict.retryAfterMs, parts.random)
@@ -47,6 +47,6 @@
   const error = new SpoolgateError('limitReached', message, { retryAfterSeconds })
   const { held, isScarce, contactAgeMs } = verdict
   const figures = { held, isScarce, contactAgeMs, retryAfterSeconds }
-  const fields = { team: team.id, unit, perSecond, burst, cost: use.cost, ...figures }
-  return { ...NO_LIMIT, refusal: { error, fields } }
+  const fields = { team: team.id, unit, perSecond, burst, cost: charge.cost, ...figures }
+  return { ...UNLIMITED, refusal: { error, fields } }
 }
--- a/packages/router/src/direct/serveCall.ts
+++ b/packages/router/src/direct/serveCall.ts
@@ -181,9 +181,9 @@
 
   /** Sends, and records in the quarantine what became of the request. */
   private async sendAdmitted({ candidate, round }: AdmittedSend): Promise<SendEnd> {
-    const { quarantine, exits } = this.parts
+    const { quarantine, crashDetector: exits } = this.parts
     const { server } = candidate
-    this.recordLost = () => exits.recordLost(server, { request: this.fingerprint, round })
+    this.recordLost = () => exits.recordInterrupted(server, { request: this.fingerprint, round })
     const end = await this.sendTo(candidate)
     const isLost = end.kind === 'lost' || end.kind === 'abandoned'
     // What this router broke off itself shows nothing.
@@ -198,7 +198,7 @@
    */
   private findStopRefusal(): SpoolgateError | undefined {
     if (this.sends === 0 || this.mayHaveRun) return undefined
-    const refusal = this.parts.stop.findRefusal(this.plan)
+    const refusal = this.parts.shutdown.findRefusal(this.plan)
     if (refusal) this.log('call.notSentAgain', listRefusalFields(refusal))
     return refusal
   }
@@ -241,15 +241,15 @@
 
   private async sendTo(candidate: Candidate): Promise<SendEnd> {
     const restarted = watchStall({
-      restarts: this.parts.restarts,
+      restarts: this.parts.restartDetector,
       timers: this.parts.timers,
       server: candidate.server.id,
-      lastSignAt: () => this.lastSignAt,
+      lastDataAt: () => this.lastSignAt,
       onRestart: () => {
         this.log('call.serverRestarted', { server: candidate.server.id })
         this.current?.startProbing()
       },
-      onSilent: () => {
+      onStall: () => {
         if (!this.isOver && this.isRepeatable()) this.current?.cancel()
       },
     })
--- a/packages/router/src/relay/declines.ts
+++ b/packages/router/src/relay/declines.ts
@@ -69,7 +69,7 @@
   const { request, team, parameters, target, chain, weightsVersion, session } = context
   const { excluded } = state
   const wanted = { request, team, parameters, target, chain, weightsVersion, session }
-  const decision = await parts.decider.choose({ ...wanted, fleet, excluded })
+  const decision = await parts.serverSelector.choose({ ...wanted, fleet, excluded })
   if (decision) return decision
   throw buildRefusal(state)
 }
--- a/packages/router/src/relay/relayParts.ts
+++ b/packages/router/src/relay/relayParts.ts
@@ -22,7 +22,7 @@
 export interface RelayParts extends AttemptParts {
   readonly config: ConfigFollower
   readonly control: ControlClient
-  readonly decider: ServerSelector
+  readonly serverSelector: ServerSelector
   readonly decisions: DecisionLog
   readonly state: PolicyState
   readonly ejection: Ejection
--- a/packages/router/src/relay/relayRepeatable.ts
+++ b/packages/router/src/relay/relayRepeatable.ts
@@ -189,7 +189,7 @@
 
 /** Relays a repeatable request to its end. */
 export async function relayRepeatable(parts: RelayParts, context: CallContext): Promise<void> {
-  const policy = parts.decider.findPolicy(context)
+  const policy = parts.serverSelector.findPolicy(context)
   const state: RelayState = {
     sink: createStreamSink({
       response: context.response,
--- a/packages/router/src/server/routerServer.ts
+++ b/packages/router/src/server/routerServer.ts
@@ -69,7 +69,7 @@
    * Full knowledge of the backend servers, for the oracle of benchmarks.
    * @default undefined
    */
-  readonly findTruth?: ServerSelectorOptions['findTruth']
+  readonly findExactHints?: ServerSelectorOptions['findExactHints']
 }
 
 /** A running router. */
@@ -150,7 +150,7 @@
     invariants,
     config,
     control,
-    decider: createServerSelector({
+    serverSelector: createServerSelector({
       hall: options.hall,
       region: options.region,
       state,
@@ -161,7 +161,7 @@
       logger,
       metrics,
       decisions,
-      findTruth: options.findTruth,
+      findExactHints: options.findExactHints,
     }),
     decisions,
     state,
--- a/packages/spoolgate/src/node/bench/routingBench.ts
+++ b/packages/spoolgate/src/node/bench/routingBench.ts
@@ -103,7 +103,7 @@
   name: WorkloadName,
 ): Promise<LocalFleet> {
   const parts: { fleet?: LocalFleet } = {}
-  const findTruth = (server: BackendServerId, chain: PrefixChain) => {
+  const findExactHints = (server: BackendServerId, chain: PrefixChain) => {
     const index = Number(String(server).split('-')[1])
     return parts.fleet && readTruth(parts.fleet, index, chain)
   }
@@ -116,7 +116,7 @@
     createDataFolder: (index) => join(folder, `${arm}-${index}`),
     engine: { cacheBlocks: CACHE_BLOCKS },
     policy: arm === 'oracle' ? 'expectedFirstToken' : arm,
-    findTruth: arm === 'oracle' ? findTruth : undefined,
+    findExactHints: arm === 'oracle' ? findExactHints : undefined,
     isFatal: false,
     adjust: (config) => ({
       ...config,
--- a/packages/spoolgate/src/node/local/localFleet.ts
+++ b/packages/spoolgate/src/node/local/localFleet.ts
@@ -60,7 +60,7 @@
   /** Whether a violated invariant ends the run. @default true */
   readonly isFatal?: boolean
   /** Full knowledge for the oracle of benchmarks. @default undefined */
-  readonly findTruth?: RouterOptions['findTruth']
+  readonly findExactHints?: RouterOptions['findExactHints']
   /** Changes the configuration before it is submitted. @default unchanged */
   readonly adjust?: (config: FleetConfigInput) => FleetConfigInput
   /** Links between control members that are cut. @default none */
@@ -256,7 +256,7 @@
         timers,
         isFatal,
         seed: index + 1,
-        findTruth: options.findTruth,
+        findExactHints: options.findExactHints,
       })
       return fleet.routers[index]
     },
