--- a/packages/control/src/__tests__/feedSimulation.ts
+++ b/packages/control/src/__tests__/feedSimulation.ts
@@ -18,8 +18,8 @@
 import type { ServerResponse } from 'node:http'
 import { NEVER } from 'rxjs'
 import { TABLE_PATH, type FeedRequest } from '../registry/feed.js'
-import { createBlameRecord } from '../blame/blameRecord.js'
-import { createBlameSource } from '../blame/blameSource.js'
+import { createCrashReportBuffer } from '../quarantine/crashReportBuffer.js'
+import { createQuarantineCoordinator } from '../quarantine/quarantineCoordinator.js'
 import { createFeedClient, type FeedClient } from '../registry/feedClient.js'
 import { createFeedSource, type FeedSource } from '../registry/feedSource.js'
 import { createTableSource, type TableRequest } from '../registry/tableSource.js'
@@ -225,7 +225,7 @@
   const createSource = (url: string, place: Host): FeedSource =>
     createFeedSource({
       member: createMember(url),
-      blame: createBlameSource({
+      blame: createQuarantineCoordinator({
         member: createMember(url),
         quarantine: machine.quarantine,
         timers,
@@ -330,7 +330,7 @@
       listLoads: () => ({}),
       takePlacements: () => [],
       onPlacements: () => {},
-      blame: createBlameRecord(timers),
+      blame: createCrashReportBuffer(timers),
       onSuspects: () => {},
       onTrial: () => {},
       limits: NO_LIMITS,
@@ -362,7 +362,7 @@
     followers,
     timers,
     tableMs,
-    cachedParts: cachedParts,
+    cachedParts,
     logLines: lines,
     longestLagMs: () => longestLagMs,
     countLeaderRequests: () => leaderRequests,
--- a/packages/control/src/registry/cacheDirectory.ts
+++ b/packages/control/src/registry/cacheDirectory.ts
@@ -83,7 +83,7 @@
     if (known) return known
     // An engine drops what it read under earlier weights; a store keeps it.
     if (place.kind === 'engine') versions.clear()
-    const created = { place: formatLocationId(place, version), version, tokens: new Map() }
+    const created = { location: formatLocationId(place, version), version, tokens: new Map() }
     versions.set(version, created)
     return created
   }
@@ -141,6 +141,6 @@
     },
     forget: (place) => void locations.delete(formatLocationKey(place)),
     list: () => listVersions().map(buildPlacement),
-    readPage: readPage,
+    readPage,
   }
 }
--- a/packages/control/src/registry/cacheWatch.ts
+++ b/packages/control/src/registry/cacheWatch.ts
@@ -75,7 +75,7 @@
   /** Stores that answered last time. */
   listReachableStores(): readonly ReachableStore[]
   /** What is known to be kept. */
-  readonly directory: Pick<CacheDirectory, 'takePiece'>
+  readonly directory: Pick<CacheDirectory, 'readPage'>
   /** Waits until every place has answered once, or for {@link FIRST_ANSWERS_TIMEOUT_MS}. */
   waitForFirstAnswers(): Promise<void>
   /** Emits when the lives of stores changed. */
@@ -250,7 +250,7 @@
   const refreshes = merge(member.elected, machine.fleetChanges).subscribe(refreshWatches)
   return {
     listReachableStores: () => [...storeEpochs].map(([address, epoch]) => ({ address, epoch })),
-    directory: directory,
+    directory,
     waitForFirstAnswers: async () => {
       const isOver = settledChanges.pipe(filter(isEachSettled))
       if (!isEachSettled()) await firstValueFrom(isOver, { defaultValue: undefined })
--- a/packages/control/src/registry/feedSource.ts
+++ b/packages/control/src/registry/feedSource.ts
@@ -8,7 +8,7 @@
 } from '@spoolgate/core'
 import { filter, firstValueFrom, fromEvent, merge, race, share, type Observable } from 'rxjs'
 import type { ServerResponse } from 'node:http'
-import type { BlameSource } from '../blame/blameSource.js'
+import type { QuarantineCoordinator } from '../quarantine/quarantineCoordinator.js'
 import type { RaftMember } from '../raft/types.js'
 import type { ControlMachine } from '../state/controlMachine.js'
 import {
@@ -40,11 +40,11 @@
   readonly conditionChanges: Observable<void>
   readonly tables: TableHistory
   /** Judges requests under which servers end. */
-  readonly blame: BlameSource
+  readonly blame: QuarantineCoordinator
   /** Limits of teams. */
   readonly quotas: QuotaBuckets
   /** What engines and stores keep, for routers that do not know it yet. */
-  readonly cacheDirectory: Pick<CacheDirectory, 'takePiece'>
+  readonly cacheDirectory: Pick<CacheDirectory, 'readPage'>
   /** Waits until what engines and stores keep is known, for a little while. */
   readonly waitForCacheDirectory: () => Promise<void>
   /** Emits when the instance stops: waiting polls are answered at once. */
@@ -229,7 +229,7 @@
       placementsSeen: placements.last(),
       kept: [...listCacheChanges(request), ...page.placements],
       keptSeen: cacheChanges.last(),
-      keptPosition: page.position,
+      keptPosition: page.cursor,
       limits: isNewLimits(request) ? limits.buildUpdate(request.router) : undefined,
       limitsSeen: limits.revision(),
       suspects: isNewSuspects(request) ? blame.list() : undefined,
--- a/packages/router/src/decide/decisions.ts
+++ b/packages/router/src/decide/serverSelector.ts
@@ -1,4 +1,4 @@
-/** Decisions of a router: which backend servers to try, in which order, and why. */
+/** Server selection: which backend servers the router tries, in which order, and why. */
 import type { BackendServer, Fleet, PolicyName, TeamParameters } from '@spoolgate/config'
 import {
   INTERNAL_BODY_LIMITS,
@@ -26,8 +26,8 @@
 } from '@spoolgate/routing'
 import type { DecisionLog } from './decisionLog.js'
 
-/** Options of {@link createDecider}. */
-export interface DeciderOptions {
+/** Options of {@link createServerSelector}. */
+export interface ServerSelectorOptions {
   readonly hall: string
   readonly region: string
   readonly state: PolicyState
@@ -39,14 +39,14 @@
   readonly metrics: Metrics
   readonly decisions: DecisionLog
   /**
-   * Full knowledge of a backend server, for the oracle of benchmarks.
-   * @default undefined, hints only
+   * Returns the exact state of a backend server; used by the oracle arm of benchmarks.
+   * @default undefined, which ranks by hints only
    */
-  readonly findTruth?: (server: BackendServerId, chain: PrefixChain) => ReplyHints | undefined
+  readonly findExactHints?: (server: BackendServerId, chain: PrefixChain) => ReplyHints | undefined
 }
 
-/** What a decision is about. */
-export interface DecisionRequest {
+/** Input of a selection. */
+export interface SelectionRequest {
   readonly request: RequestId
   readonly team: TeamId
   readonly parameters: TeamParameters
@@ -54,58 +54,61 @@
   /** Model or group. */
   readonly target: string
   readonly chain: PrefixChain
-  /** Weights that may answer; undefined for plain services. */
+  /** Version of the weights that must answer; undefined for plain services. */
   readonly weightsVersion: WeightsVersion | undefined
-  /** Keeps the requests of one session on one policy. */
+  /** Session key, which keeps the requests of one session on one policy. */
   readonly session: string
   readonly excluded: ReadonlySet<BackendServerId>
 }
 
-/** A choice. */
-export interface Decision {
+/** The selected server. */
+export interface RoutingDecision {
   readonly chosen: RankedCandidate
   readonly policy: PolicyName
-  /** Time to the first token up to which the choice stays the best one; undefined for any, in ms. */
+  /** Maximum time to the first token at which this choice remains the best, in ms; undefined for no limit. */
   readonly acceptMs: number | undefined
 }
 
-/** Makes decisions. */
-export interface Decider {
+/** Selects backend servers; see {@link createServerSelector}. */
+export interface ServerSelector {
   /** Chooses the backend server to try next; undefined when none is left. */
-  choose(request: DecisionRequest): Promise<Decision | undefined>
-  /** Finds the policy arm of a session. */
-  findPolicy(request: Pick<DecisionRequest, 'parameters' | 'session'>): PolicyName
+  choose(request: SelectionRequest): Promise<RoutingDecision | undefined>
+  /** Returns the policy assigned to a session. */
+  findPolicy(request: Pick<SelectionRequest, 'parameters' | 'session'>): PolicyName
 }
 
-/** One-way distances that the score assumes, in ms. */
+/** One-way network latencies assumed by the score, in ms. */
 const SAME_HALL_MS = 0.2
 const SAME_REGION_MS = 1.2
 const OTHER_REGION_MS = 25
 const PROBE_TIMEOUT_MS = 500
-/** Largest fleet of one model in which doubt is settled by probes; the bytes forbid it above. */
-const MAX_PROBED_FLEET = 24
-/** Candidates that a log line names. */
+/** Largest fleet per model in which uncertain choices are probed; above it probes would cost too much bandwidth. */
+const MAX_PROBED_FLEET_SIZE = 24
+/** Maximum number of candidates per log line. */
 const LOGGED_CANDIDATES = 4
-/** Levels that a table made for one decision holds; the usual size takes 20 ms to set up. */
-const TRUTH_LEVELS = 64
-/** Error of an estimate that is not worth another hop, in ms. */
+/** Levels of a hint table created for one decision; a table of the default size takes 20 ms to set up. */
+const EXACT_HINT_LEVELS = 64
+/** Estimation error that does not justify another hop, in ms. */
 const ACCEPT_TOLERANCE_MS = 30
 const MIN_TAIL_WEIGHT = 0.1
 const ARM_RESOLUTION = 10_000
 
 /**
- * Finds how wrong the estimate of the best candidate may be before the second is better. Policies
- * without an estimate set no bound.
+ * Returns the time to the first token above which the second candidate is better than the first, in ms; undefined for
+ * policies without an estimate.
  */
-function findAcceptMs(ranked: readonly RankedCandidate[], tailWeight: number): number | undefined {
+function findMaxFirstTokenMs(
+  ranked: readonly RankedCandidate[],
+  tailWeight: number,
+): number | undefined {
   const [first, second] = ranked
   if (first?.firstTokenMs === undefined || !second) return undefined
-  const lead = (second.score - first.score) / Math.max(tailWeight, MIN_TAIL_WEIGHT)
-  return first.firstTokenMs + lead + ACCEPT_TOLERANCE_MS
+  const margin = (second.score - first.score) / Math.max(tailWeight, MIN_TAIL_WEIGHT)
+  return first.firstTokenMs + margin + ACCEPT_TOLERANCE_MS
 }
 
-/** Creates a decider. */
-export function createDecider(options: DeciderOptions): Decider {
+/** Creates a server selector. */
+export function createServerSelector(options: ServerSelectorOptions): ServerSelector {
   const { state, ejection, timers, random, client } = options
   const probes = options.metrics.counter('probes', 'Probes sent before a choice')
 
@@ -113,14 +116,14 @@
     if (server.hall === options.hall && server.region === options.region) return SAME_HALL_MS
     return server.region === options.region ? SAME_REGION_MS : OTHER_REGION_MS
   }
-  const findPolicy: Decider['findPolicy'] = ({ parameters, session }) => {
+  const findPolicy: ServerSelector['findPolicy'] = ({ parameters, session }) => {
     const { arms } = parameters
     if (arms.length === 1) return arms[0].policy
     const total = arms.reduce((sum, arm) => sum + arm.share, 0)
-    let point = ((hashText(session) % ARM_RESOLUTION) / ARM_RESOLUTION) * total
-    return (arms.find((arm) => (point -= arm.share) < 0) ?? arms[0]).policy
+    let remaining = ((hashText(session) % ARM_RESOLUTION) / ARM_RESOLUTION) * total
+    return (arms.find((arm) => (remaining -= arm.share) < 0) ?? arms[0]).policy
   }
-  const createFilter = (request: DecisionRequest, servers: readonly BackendServer[]) => {
+  const createFilter = (request: SelectionRequest, servers: readonly BackendServer[]) => {
     const { parameters, excluded, weightsVersion } = request
     const ejected = ejection.listEjected(servers, timers.now())
     const isUsable = (server: BackendServer) => {
@@ -134,11 +137,15 @@
     }
     const isPreferred = (server: BackendServer) =>
       isUsable(server) && !ejected.has(server.id) && hasWeights(server)
-    // What is known of a backend server may be old: rather one that seems unfit than none at all,
-    // for its sidecar decides again.
+    // The router's knowledge may be outdated: if no server seems fit, an unfit one is tried rather than none, since
+    // its sidecar decides again.
     return servers.some(isPreferred) ? isPreferred : isUsable
   }
-  const rank = (request: DecisionRequest, policy: PolicyName, seen: PolicyState = state) => {
+  const rank = (
+    request: SelectionRequest,
+    policy: PolicyName,
+    policyState: PolicyState = state,
+  ) => {
     const servers = request.fleet.backendServersByTarget.get(request.target) ?? []
     return POLICIES[policy].rank({
       chain: request.chain,
@@ -148,12 +155,12 @@
       slowStartMs: (server) => ejection.findSlowStartMs(server, timers.now()),
       parameters: request.parameters,
       boundedLoadFactor: request.fleet.routing.boundedLoadFactor,
-      state: seen,
+      state: policyState,
       random,
       now: timers.now(),
     })
   }
-  const recordTruth = (table: HintTable, chain: PrefixChain, hints: ReplyHints) => {
+  const recordHints = (table: HintTable, chain: PrefixChain, hints: ReplyHints) => {
     const now = timers.now()
     table.record(hints, now)
     table.recordCached(chain, hints, hints.matchedTokens, now)
@@ -170,46 +177,50 @@
         timeoutMs: PROBE_TIMEOUT_MS,
       })
       const hints = (await readJson(message, INTERNAL_BODY_LIMITS)) as ReplyHints
-      if (message.statusCode === 200) recordTruth(state.hints, chain, hints)
+      if (message.statusCode === 200) recordHints(state.hints, chain, hints)
     } catch {
       ejection.record(id, 'failed', timers.now())
     }
   }
-  const chooseProbed = async (request: DecisionRequest, policy: PolicyName, count: number) => {
+  const chooseAmongProbed = async (
+    request: SelectionRequest,
+    policy: PolicyName,
+    count: number,
+  ) => {
     const first = rank(request, policy).slice(0, count)
     await Promise.all(first.map((candidate) => probe(candidate, request.chain)))
-    const asked = new Set(first.map(({ server }) => server.id))
-    return rank(request, policy).filter(({ server }) => asked.has(server.id))
+    const probed = new Set(first.map(({ server }) => server.id))
+    return rank(request, policy).filter(({ server }) => probed.has(server.id))
   }
-  /** Ranks with what `findTruth` says in place of remembered hints. */
-  const rankWithTruth = (
-    request: DecisionRequest,
+  /** Ranks with the exact state from `findExactHints` instead of the remembered hints. */
+  const rankWithExactHints = (
+    request: SelectionRequest,
     policy: PolicyName,
-    findTruth: NonNullable<DeciderOptions['findTruth']>,
+    findExactHints: NonNullable<ServerSelectorOptions['findExactHints']>,
   ) => {
-    const hints = createHintTable({ isComplete: true, maxLevels: TRUTH_LEVELS })
+    const hints = createHintTable({ isComplete: true, maxLevels: EXACT_HINT_LEVELS })
     for (const server of request.fleet.backendServersByTarget.get(request.target) ?? []) {
-      const truth = findTruth(server.id, request.chain)
-      if (truth) recordTruth(hints, request.chain, truth)
+      const exactHints = findExactHints(server.id, request.chain)
+      if (exactHints) recordHints(hints, request.chain, exactHints)
     }
     return rank(request, policy, { ...state, hints })
   }
-  const rankFor = (request: DecisionRequest, policy: PolicyName) => {
+  const rankCandidates = (request: SelectionRequest, policy: PolicyName) => {
     const { probes, probesInDoubt = 0 } = POLICIES[policy]
-    if (probes > 0) return chooseProbed(request, policy, probes)
-    if (options.findTruth) return rankWithTruth(request, policy, options.findTruth)
+    if (probes > 0) return chooseAmongProbed(request, policy, probes)
+    if (options.findExactHints) return rankWithExactHints(request, policy, options.findExactHints)
     const ranked = rank(request, policy)
     const fleetSize = request.fleet.backendServersByTarget.get(request.target)?.length ?? 0
-    const isDoubtful = ranked[0]?.isGuess === true && request.chain.levels.length > 0
-    if (!isDoubtful || probesInDoubt === 0 || fleetSize > MAX_PROBED_FLEET) return ranked
-    return chooseProbed(request, policy, probesInDoubt)
+    const isUncertain = ranked[0]?.isGuess === true && request.chain.levels.length > 0
+    if (!isUncertain || probesInDoubt === 0 || fleetSize > MAX_PROBED_FLEET_SIZE) return ranked
+    return chooseAmongProbed(request, policy, probesInDoubt)
   }
 
   return {
     findPolicy,
     choose: async (request) => {
       const policy = findPolicy(request)
-      const ranked = await rankFor(request, policy)
+      const ranked = await rankCandidates(request, policy)
       const chosen = ranked.at(0)
       if (!chosen) return undefined
       options.decisions.recordDecision(request.request, {
@@ -225,7 +236,7 @@
           reason,
         })),
       })
-      const acceptMs = findAcceptMs(ranked, request.parameters.tailWeight)
+      const acceptMs = findMaxFirstTokenMs(ranked, request.parameters.tailWeight)
       return { chosen, policy, acceptMs }
     },
   }
--- /dev/null
+++ b/packages/router/src/direct/gracefulShutdown.ts
@@ -0,0 +1,162 @@
+/**
+ * Graceful shutdown of a router: tracks the requests in progress, rejects those that cannot finish before the
+ * shutdown deadline, and logs the requests that are cut off at the deadline.
+ */
+import type { IncomingMessage, ServerResponse } from 'node:http'
+import {
+  createConnectionEnds,
+  SpoolgateError,
+  waitFor,
+  type Counter,
+  type LogFields,
+  type Logger,
+  type TimerService,
+} from '@spoolgate/core'
+import type { CallPlan } from './callPlan.js'
+import type { DirectCall } from './dialects.js'
+
+/** A request in progress: from its arrival until the response is sent or the connection closes. */
+export interface TrackedRequest {
+  /** Records the decoded call once the request head has been read. */
+  recordCall(call: DirectCall): void
+  /** Records the route and deadline of the request once they are known. */
+  recordPlan(plan: CallPlan): void
+}
+
+/** Graceful shutdown of one router; see {@link createGracefulShutdown}. */
+export interface GracefulShutdown {
+  isStopping(): boolean
+  /**
+   * Returns how long a request body may take to arrive so that the request can still be answered, in ms;
+   * Infinity while no shutdown is in progress.
+   */
+  findBodyTimeoutMs(): number
+  /**
+   * Returns the error for a request that must not be forwarded because its deadline lies after the end of the
+   * shutdown; undefined if it may be forwarded.
+   */
+  findRefusal(plan: CallPlan): SpoolgateError | undefined
+  /**
+   * Tracks a request that has just arrived until its response is closed. Returns undefined if an earlier response
+   * has already announced the close of its connection, so that no response can be sent on it.
+   */
+  track(request: IncomingMessage, response: ServerResponse): TrackedRequest | undefined
+  /** Starts the shutdown; requests still in progress after `drainMs` are cut off. */
+  start(drainMs: number): void
+  /** Waits until no request is in progress or `drainMs` has elapsed. */
+  waitUntilIdle(): Promise<void>
+  /** Logs the requests that the caller is about to cut off, and returns their number. */
+  reportCutOff(): number
+}
+
+/** Options of {@link createGracefulShutdown}. */
+export interface GracefulShutdownOptions {
+  readonly timers: TimerService
+  readonly logger: Logger
+  /** Counts the requests that were cut off by a shutdown. */
+  readonly cutOff: Counter
+}
+
+/** Interval at which a shutdown checks for requests in progress, in ms. */
+const IDLE_CHECK_INTERVAL_MS = 20
+/** Time reserved for the error response to a request that reaches its deadline, in ms: five idle checks. */
+const FINAL_RESPONSE_MS = 5 * IDLE_CHECK_INTERVAL_MS
+/** Retry-After of requests rejected by a router that is shutting down, in s; the retry may go to another router. */
+const RETRY_AFTER_S = 0.05
+/** Maximum number of cut-off requests logged individually: half of the lines that a process may log per second. */
+const MAX_CUT_OFF_LOGS = 100
+
+interface RequestInProgress {
+  readonly response: ServerResponse
+  readonly arrivedAt: number
+  /** Whether it arrived during the shutdown. */
+  readonly isLate: boolean
+  call: DirectCall | undefined
+  plan: CallPlan | undefined
+}
+
+/** Lists the figures behind a rejection during shutdown as log fields. */
+export function listRefusalFields({ kind, details }: SpoolgateError): LogFields {
+  if (kind !== 'instanceStopping') return {}
+  const inputs = Object.entries(details as Record<string, number>)
+  return Object.fromEntries(inputs.map(([name, value]) => [name, Math.round(value)]))
+}
+
+/** Creates the graceful shutdown of a running router. */
+export function createGracefulShutdown(options: GracefulShutdownOptions): GracefulShutdown {
+  const { timers, logger, cutOff } = options
+  const inProgress = new Set<RequestInProgress>()
+  const connectionEnds = createConnectionEnds(logger)
+  let startedAt: number | undefined
+  let stopsAt = Infinity
+
+  const logCutOff = ({ response, arrivedAt, isLate, call, plan }: RequestInProgress) => {
+    const now = timers.now()
+    logger.warn('call.cutOff', {
+      request: call?.id,
+      route: plan?.route.name,
+      ms: Math.round(now - arrivedAt),
+      leftMs: plan && Math.round(plan.deadline - now),
+      hasBegun: response.headersSent,
+      isLate,
+    })
+  }
+  return {
+    isStopping: () => startedAt !== undefined,
+    findBodyTimeoutMs: () => Math.max(0, stopsAt - FINAL_RESPONSE_MS - timers.now()),
+    // Only the request's own deadline is considered: the durations of other requests do not predict this one's, and
+    // whatever is still running at the end is cut off.
+    findRefusal: ({ deadline }) => {
+      if (deadline + FINAL_RESPONSE_MS <= stopsAt) return undefined
+      const now = timers.now()
+      return new SpoolgateError('instanceStopping', 'this instance stops; send it to another one', {
+        retryAfterSeconds: RETRY_AFTER_S,
+        details: { limitMs: deadline - now, leftMs: stopsAt - now },
+      })
+    },
+    track: (request, response) => {
+      const tracked: RequestInProgress = {
+        response,
+        arrivedAt: timers.now(),
+        isLate: startedAt !== undefined,
+        call: undefined,
+        plan: undefined,
+      }
+      if (!connectionEnds.take(request, response, () => inProgress.delete(tracked)))
+        return undefined
+      inProgress.add(tracked)
+      return {
+        recordCall: (call) => {
+          tracked.call = call
+        },
+        recordPlan: (plan) => {
+          tracked.plan = plan
+        },
+      }
+    },
+    start: (drainMs) => {
+      connectionEnds.start()
+      startedAt = timers.now()
+      stopsAt = startedAt + drainMs
+      logger.info('router.stopping', {
+        inProgress: inProgress.size,
+        streams: [...inProgress].filter(({ plan }) => plan?.route.isStream).length,
+        stopsInMs: drainMs,
+      })
+    },
+    waitUntilIdle: async () => {
+      while (inProgress.size > 0 && timers.now() < stopsAt)
+        await waitFor(timers, IDLE_CHECK_INTERVAL_MS)
+    },
+    reportCutOff: () => {
+      const abandoned = inProgress.size
+      for (const tracked of [...inProgress].slice(0, MAX_CUT_OFF_LOGS)) logCutOff(tracked)
+      if (abandoned > 0) cutOff.add(abandoned)
+      logger.info('router.stopped', {
+        abandoned,
+        ms: Math.round(timers.now() - (startedAt ?? timers.now())),
+      })
+      return abandoned
+    },
+  }
+}
