--- a/packages/control/src/__tests__/feedSimulation.ts
+++ b/packages/control/src/__tests__/feedSimulation.ts
@@ -225,7 +225,7 @@
   const createSource = (url: string, place: Host): FeedSource =>
     createFeedSource({
       member: createMember(url),
-      blame: createQuarantineCoordinator({
+      quarantine: createQuarantineCoordinator({
         member: createMember(url),
         quarantine: machine.quarantine,
         timers,
--- a/packages/control/src/__tests__/feedSource.spec.ts
+++ b/packages/control/src/__tests__/feedSource.spec.ts
@@ -35,7 +35,12 @@
     machine,
     timers,
     quotas: createNoQuotas(timers),
-    blame: createQuarantineCoordinator({ member, quarantine, timers, logger: createQuietLogger() }),
+    quarantine: createQuarantineCoordinator({
+      member,
+      quarantine,
+      timers,
+      logger: createQuietLogger(),
+    }),
     tables: { findUpdate: () => undefined },
     findConditions: () => ({ loading: [], expired: [], silent: [], stores: [] }),
     conditionChanges: NEVER,
@@ -48,7 +53,7 @@
     waitForCacheDirectory: () => known,
     stopping: NEVER,
   })
-  return { source, tell: resolveCached }
+  return { source, resolveCached: resolveCached }
 }
 
 function buildRequest(known: Partial<FeedRequest>): FeedRequest {
@@ -73,7 +78,7 @@
 
 describe('the feed of a new leader', () => {
   it('gives a router its first answer only once it knows what is kept', async () => {
-    const { source, tell } = createLeader()
+    const { source, resolveCached: tell } = createLeader()
     let kept: unknown
     const asked = source.answer(buildRequest({}), response).then((reply) => (kept = reply.kept))
     await settle()
--- a/packages/control/src/registry/cacheDirectory.ts
+++ b/packages/control/src/registry/cacheDirectory.ts
@@ -1,109 +1,109 @@
 /**
- * Which prompt parts each engine and store keeps, as the leader learns it from their cache events,
- * in the form in which routers receive it: placements whose parts have 0 tokens are gone.
+ * Directory of the prompt parts cached by each engine and store, built by the leader from their cache events. Routers
+ * receive it as placements, in which parts with 0 tokens were evicted.
  */
 import { formatStoreId, hashPart, parseScopeVersion } from '@spoolgate/routing'
 import type { CacheListCursor, Placement } from './feed.js'
 
-/** A part of a prompt as an engine or store keeps it. */
+/** A cached part of a prompt in an engine or store. */
 export interface CacheEntry {
-  /** What the part was read under. */
+  /** Cache scope in which the part was computed. */
   readonly scope: string
   readonly id: string
-  /** Tokens of it that are kept now; 0 once it is gone. */
+  /** Tokens of the part that are cached; 0 once it is evicted. */
   readonly tokens: number
 }
 
-/** Where parts are kept. */
+/** An engine or store that caches parts. */
 export type CacheLocation =
   | { readonly kind: 'engine'; readonly id: string; readonly address: string }
   | { readonly kind: 'store'; readonly address: string; readonly epoch: number }
 
-/** The index; see {@link createCacheDirectory}. */
+/** See {@link createCacheDirectory}. */
 export interface CacheDirectory {
   /**
-   * Applies changes at a place, in order; returns what is to be reported to routers, each part once with
-   * the tokens that are left of it in the end.
+   * Applies changes at a location in order; returns the placements to report to routers, each part once with its
+   * final token count.
    */
-  apply(place: CacheLocation, changes: readonly CacheEntry[]): Placement[]
-  /** Replaces all that is known of a place by a full list; returns the differences. */
-  replace(place: CacheLocation, parts: readonly CacheEntry[]): Placement[]
-  /** Forgets a place that is gone. */
-  forget(place: CacheLocation): void
-  /** Lists all that is kept. */
+  apply(location: CacheLocation, changes: readonly CacheEntry[]): Placement[]
+  /** Replaces the content of a location with a full list; returns the evicted parts and all listed ones. */
+  replace(location: CacheLocation, parts: readonly CacheEntry[]): Placement[]
+  /** Removes a location. */
+  forget(location: CacheLocation): void
+  /** Lists all cached parts. */
   list(): Placement[]
   /**
-   * Takes the next places of the list for a router that stands at a position in it: as many as hold
-   * `maxParts`, and one at least. A position whose `left` is larger than the list means all of it.
+   * Reads the page after a router's cursor: at least one location, and more as long as they hold no more than
+   * `maxParts` in total. A cursor whose `left` exceeds the list covers all of it.
    */
   readPage(position: CacheListCursor, maxParts: number): CacheListPage
 }
 
-/** A piece of the list of all that is kept. */
+/** A page of the list of all cached parts. */
 export interface CacheListPage {
   readonly placements: readonly Placement[]
-  /** Where the router stands once it has the piece. */
+  /** Cursor of the router after this page. */
   readonly cursor: CacheListCursor
 }
 
 interface VersionEntries {
   readonly location: string
   readonly version: number
-  /** Tokens by the hash of the part. */
+  /** Token count by hash of the part. */
   readonly tokens: Map<number, number>
 }
 
-/** Name of a place for one weights version, as routers know it. */
-function formatLocationId(place: CacheLocation, version: number): string {
-  if (place.kind === 'engine') return place.id
-  return formatStoreId(place.address, place.epoch, version)
+/** Name that routers use for a location with one weights version. */
+function formatLocationId(location: CacheLocation, version: number): string {
+  if (location.kind === 'engine') return location.id
+  return formatStoreId(location.address, location.epoch, version)
 }
 
-function formatLocationKey(place: CacheLocation): string {
-  return place.kind === 'engine' ? place.id : `${place.address}/${place.epoch}`
+function formatLocationKey(location: CacheLocation): string {
+  return location.kind === 'engine' ? location.id : `${location.address}/${location.epoch}`
 }
 
-function buildPlacement({ location: place, version, tokens }: VersionEntries): Placement {
-  return [place, version, ...[...tokens].flat()]
+function buildPlacement({ location: location, version, tokens }: VersionEntries): Placement {
+  return [location, version, ...[...tokens].flat()]
 }
 
-/** Creates an index that knows of nothing. */
+/** Creates an empty directory. */
 export function createCacheDirectory(): CacheDirectory {
   const locations = new Map<string, Map<number, VersionEntries>>()
 
-  const openVersions = (place: CacheLocation) => {
-    const key = formatLocationKey(place)
+  const openVersions = (location: CacheLocation) => {
+    const key = formatLocationKey(location)
     const versions = locations.get(key) ?? new Map<number, VersionEntries>()
     locations.set(key, versions)
     return versions
   }
-  const openParts = (place: CacheLocation, version: number) => {
-    const versions = openVersions(place)
+  const openParts = (location: CacheLocation, version: number) => {
+    const versions = openVersions(location)
     const known = versions.get(version)
     if (known) return known
-    // An engine drops what it read under earlier weights; a store keeps it.
-    if (place.kind === 'engine') versions.clear()
-    const created = { location: formatLocationId(place, version), version, tokens: new Map() }
+    // An engine discards parts computed with earlier weights; a store retains them.
+    if (location.kind === 'engine') versions.clear()
+    const created = { location: formatLocationId(location, version), version, tokens: new Map() }
     versions.set(version, created)
     return created
   }
-  const isOutdated = (place: CacheLocation, version: number) => {
-    if (place.kind === 'store') return false
-    return Math.max(...openVersions(place).keys(), 0) > version
+  const isOutdated = (location: CacheLocation, version: number) => {
+    if (location.kind === 'store') return false
+    return Math.max(...openVersions(location).keys(), 0) > version
   }
-  const apply: CacheDirectory['apply'] = (place, changes) => {
+  const apply: CacheDirectory['apply'] = (location, changes) => {
     const reported = new Map<number, Map<number, number>>()
     for (const { scope, id, tokens } of changes) {
       const version = parseScopeVersion(scope)
-      if (version === undefined || isOutdated(place, version)) continue
+      if (version === undefined || isOutdated(location, version)) continue
       const hash = hashPart(scope, id)
-      const parts = openParts(place, version).tokens
+      const parts = openParts(location, version).tokens
       if (tokens > 0) parts.set(hash, tokens)
       else parts.delete(hash)
       reported.set(version, (reported.get(version) ?? new Map<number, number>()).set(hash, tokens))
     }
     return [...reported].map(([version, last]) => {
-      return [formatLocationId(place, version), version, ...[...last].flat()]
+      return [formatLocationId(location, version), version, ...[...last].flat()]
     })
   }
   const listVersions = () =>
@@ -113,8 +113,8 @@
   const readPage: CacheDirectory['readPage'] = ({ after, left }, maxParts) => {
     if (left <= 0) return { placements: [], cursor: { after, left: 0 } }
     const ordered = listVersions().sort((a, b) => (a.location < b.location ? -1 : 1))
-    const reported = ordered.filter(({ location: place }) => place <= after)
-    // Behind the last name comes the first again.
+    const reported = ordered.filter(({ location: location }) => location <= after)
+    // Wraps around after the last name.
     const remaining = [...ordered.slice(reported.length), ...reported].slice(0, left)
     let parts = 0
     const end = remaining.findIndex(({ tokens }, index) => {
@@ -129,17 +129,17 @@
   }
   return {
     apply,
-    replace: (place, parts) => {
+    replace: (location, parts) => {
       const listed = new Set(parts.map(({ scope, id }) => hashPart(scope, id)))
       const gone: Placement[] = []
-      for (const { location: name, version, tokens } of openVersions(place).values()) {
+      for (const { location: name, version, tokens } of openVersions(location).values()) {
         const missing = [...tokens.keys()].filter((hash) => !listed.has(hash))
         for (const hash of missing) tokens.delete(hash)
         if (missing.length > 0) gone.push([name, version, ...missing.flatMap((hash) => [hash, 0])])
       }
-      return [...gone, ...apply(place, parts)]
+      return [...gone, ...apply(location, parts)]
     },
-    forget: (place) => void locations.delete(formatLocationKey(place)),
+    forget: (location) => void locations.delete(formatLocationKey(location)),
     list: () => listVersions().map(buildPlacement),
     readPage,
   }
--- a/packages/control/src/registry/cacheWatch.ts
+++ b/packages/control/src/registry/cacheWatch.ts
@@ -1,6 +1,6 @@
 /**
- * What engines and stores of KV cache keep, and which stores answer in which life. The leader keeps
- * one waiting call open to each; the feed reports it to routers.
+ * Tracks the cache content of engines and KV cache stores, and the epoch of each store that responds. The leader keeps
+ * one long poll open to each; the feed reports the content to routers.
  */
 import { toSpoolgateError, waitFor, type Logger, type TimerService } from '@spoolgate/core'
 import {
@@ -24,36 +24,36 @@
   type CacheDirectory,
 } from './cacheDirectory.js'
 
-/** Speaks to what keeps KV cache; deployments bring their own way. */
+/** Client of the cache API of engines and stores; each deployment supplies its own implementation. */
 export interface CacheClient {
   /**
-   * Waits at an engine or store until something changed there after `after`, or for a while.
-   * @throws ConnectionError or SpoolgateError when there is no readable answer.
+   * Long-polls an engine or store for changes after sequence number `after`.
+   * @throws ConnectionError or SpoolgateError if there is no readable response.
    */
   waitForChanges(address: string, after: number, signal: AbortSignal): Promise<CacheEvents>
   /**
-   * Fetches the whole list; it holds up the work there.
-   * @throws ConnectionError or SpoolgateError when there is no readable answer.
+   * Fetches the full cache content; this blocks other work of the engine or store.
+   * @throws ConnectionError or SpoolgateError if there is no readable response.
    */
   fetchSnapshot(address: string, signal: AbortSignal): Promise<CacheSnapshot>
 }
 
-/** What an engine or store keeps. */
+/** Full cache content of an engine or store. */
 export interface CacheSnapshot {
   /** Changes with each restart. */
   readonly epoch: number
-  /** Number after which a call waits for changes since. */
+  /** Sequence number from which to wait for later changes. */
   readonly next: number
   readonly parts: readonly CacheEntry[]
 }
 
-/** What an engine or store says of its changes. */
+/** Cache changes of an engine or store. */
 export interface CacheEvents {
   /** Changes with each restart. */
   readonly epoch: number
-  /** Number after which the next call waits for changes. */
+  /** Sequence number from which the next call waits for changes. */
   readonly next: number
-  /** Whether changes before these are missing. */
+  /** Whether changes before these were lost. */
   readonly hasGap: boolean
   readonly changes: readonly CacheEntry[]
 }
@@ -66,52 +66,52 @@
   readonly table: Pick<DecodedTable, 'current' | 'isKnownGroup'>
   readonly timers: TimerService
   readonly logger: Logger
-  /** Called with what is to be reported to routers. */
+  /** Called with the cache changes to report to routers. */
   readonly onCacheChanges: (placements: readonly Placement[]) => void
 }
 
-/** The watch; see {@link createCacheWatch}. */
+/** See {@link createCacheWatch}. */
 export interface CacheWatch {
-  /** Stores that answered last time. */
+  /** Stores that answered the last call. */
   listReachableStores(): readonly ReachableStore[]
-  /** What is known to be kept. */
+  /** Known cache content. */
   readonly directory: Pick<CacheDirectory, 'readPage'>
-  /** Waits until every place has answered once, or for {@link FIRST_ANSWERS_TIMEOUT_MS}. */
+  /** Waits until every engine and store has answered once, at most {@link FIRST_ANSWERS_TIMEOUT_MS}. */
   waitForFirstAnswers(): Promise<void>
-  /** Emits when the lives of stores changed. */
+  /** Emits when the epoch of a store changes. */
   readonly changes: Observable<void>
   close(): Promise<void>
 }
 
-/** Time between two looks at what there is to watch, in ms. */
+/** Period of refreshing the set of watched engines and stores, in ms. */
 const REFRESH_PERIOD_MS = 300
-/** Pause between two calls to one place, in ms: what routers know is about this old. */
+/** Pause between two calls to one cache, in ms; it determines how stale the routers' cache state is. */
 const PAUSE_MS = 100
-/** Added to the pause for each place, in ms, so that the leader makes 60 calls a second at most. */
+/** Added to the pause per watched cache, in ms, so that the leader makes at most 60 calls per second. */
 const PAUSE_PER_CACHE_MS = 16
 /**
- * Longest wait for the first answers of all places, in ms; they come within 15 ms of an engine that
- * is alive. Routers that start after a loss of everything choose by what is kept, not by nothing:
- * else they had nine tenths of all prompt tokens read again in the seconds after it.
+ * Maximum wait for the first answers of all caches, in ms; a running engine answers within 15 ms. Routers that start
+ * after a total outage need the cache content to choose servers: without it, nine tenths of all prompt tokens were
+ * prefilled again in the following seconds.
  */
 const FIRST_ANSWERS_TIMEOUT_MS = 100
-/** Pause after a place did not answer, in ms. */
+/** Pause after a failed call, in ms. */
 const RETRY_PAUSE_MS = 300
 /**
- * Whole lists that are asked for at the same time: 23 took a new leader, on half of a third of a core,
- * 0.31 s, in which it sent no heartbeats. By that slope 16 take it 0.08 s on half of 0.86 of a core.
+ * Maximum concurrent snapshot requests. 23 snapshots kept a new leader with half of a third of a core busy for 0.31 s,
+ * during which it sent no heartbeats. Extrapolated, 16 take 0.08 s with half of 0.86 of a core.
  */
 const MAX_CONCURRENT_SNAPSHOTS = 16
-/** Engines up to which the leader watches them; beyond, their events would outgrow its part. */
+/** Maximum number of engines that the leader watches; with more, their events would exceed its CPU share. */
 const MAX_ENGINES = 48
 
-/** Up to where the events of a place are known. */
+/** Position up to which the events of a cache are applied. */
 interface Position {
   readonly epoch: number
   readonly after: number
 }
 
-/** Identity under which a place is watched: a store whatever its life, an engine's incarnation. */
+/** A watched cache: a store across its restarts, or one incarnation of an engine. */
 interface WatchedCache {
   readonly key: string
   readonly address: string
@@ -119,16 +119,16 @@
   readonly engine: string | undefined
 }
 
-/** Creates the watch and starts its task. */
+/** Creates the watch and starts it. */
 export function createCacheWatch(options: CacheWatchOptions): CacheWatch {
-  const { member, machine, client: calls, timers, logger } = options
+  const { member, machine, client: client, timers, logger } = options
   const stopping = new AbortController()
-  // One listener for each place that is watched; Node would write a warning from the eleventh on.
+  // Each watched cache adds a listener; Node warns about more than ten by default.
   setMaxListeners(0, stopping.signal)
   const changes = new Subject<void>()
   const storeEpochs = new Map<string, number>()
   const watched = new Map<string, WatchedCache>()
-  /** Places that were watched for a while or have answered, so that nobody waits for them. */
+  /** Keys of caches that have answered or whose first answer timed out; nothing waits for them. */
   const settled = new Set<string>()
   const settledChanges = new Subject<void>()
   const directory = createCacheDirectory()
@@ -163,37 +163,37 @@
     engine === undefined
       ? { kind: 'store', address, epoch }
       : { kind: 'engine', id: engine, address }
-  const applyEvents = (place: WatchedCache, news: CacheEvents) => {
-    if (place.engine === undefined) recordStoreEpoch(place.address, news.epoch)
-    const at = toCacheLocation(place, news.epoch)
+  const applyEvents = (cache: WatchedCache, news: CacheEvents) => {
+    if (cache.engine === undefined) recordStoreEpoch(cache.address, news.epoch)
+    const at = toCacheLocation(cache, news.epoch)
     options.onCacheChanges(directory.apply(at, news.changes))
   }
   /**
-   * Takes over the whole list. A new leader begins with it: the events since the start of an engine
-   * are thousands, and reading them took the leader longer than its first answers may wait.
+   * Replaces the content of a cache with a snapshot. A new leader starts with it: replaying the thousands of events
+   * since the start of an engine took the leader longer than its first replies may be delayed.
    */
-  const applySnapshot = async (place: WatchedCache, reason: string): Promise<Position> => {
-    const { epoch, next, parts } = await fetchInTurn(place)
-    if (place.engine === undefined) recordStoreEpoch(place.address, epoch)
-    logger.info('cache.listed', { place: place.key, parts: parts.length, reason })
-    options.onCacheChanges(directory.replace(toCacheLocation(place, epoch), parts))
+  const applySnapshot = async (cache: WatchedCache, reason: string): Promise<Position> => {
+    const { epoch, next, parts } = await fetchInTurn(cache)
+    if (cache.engine === undefined) recordStoreEpoch(cache.address, epoch)
+    logger.info('cache.listed', { place: cache.key, parts: parts.length, reason })
+    options.onCacheChanges(directory.replace(toCacheLocation(cache, epoch), parts))
     return { epoch, after: next }
   }
   const fetchInTurn = ({ address }: WatchedCache) =>
     new Promise<CacheSnapshot>((resolve, reject) => {
-      snapshotQueue.next(() => calls.fetchSnapshot(address, stopping.signal).then(resolve, reject))
+      snapshotQueue.next(() => client.fetchSnapshot(address, stopping.signal).then(resolve, reject))
     })
-  const followEvents = async (place: WatchedCache, { epoch, after }: Position) => {
-    const news = await calls.waitForChanges(place.address, after, stopping.signal)
-    if (!isWatching(place)) return { epoch, after }
-    // Numbers start anew with each life.
+  const followEvents = async (cache: WatchedCache, { epoch, after }: Position) => {
+    const news = await client.waitForChanges(cache.address, after, stopping.signal)
+    if (!isWatching(cache)) return { epoch, after }
+    // Sequence numbers restart with each epoch.
     if (news.epoch !== epoch) return { epoch: news.epoch, after: 0 }
-    if (news.hasGap) return applySnapshot(place, 'events lost')
-    applyEvents(place, news)
+    if (news.hasGap) return applySnapshot(cache, 'events lost')
+    applyEvents(cache, news)
     return { epoch, after: news.next }
   }
-  const recordUnreachable = (place: WatchedCache, cause: unknown) => {
-    const { key, address, engine } = place
+  const recordUnreachable = (cache: WatchedCache, cause: unknown) => {
+    const { key, address, engine } = cache
     const isKnown = engine === undefined ? storeEpochs.has(address) : true
     const reason = toSpoolgateError(cause).message
     if (isKnown) logger.warn('cache.lost', { place: key, reason })
@@ -206,37 +206,37 @@
   }
   const isEachSettled = () => [...watched.keys()].every((key) => settled.has(key))
   const isWatching = ({ key }: WatchedCache) => !stopping.signal.aborted && watched.has(key)
-  const watchCache = async (place: WatchedCache) => {
+  const watchCache = async (cache: WatchedCache) => {
     let position: Position | undefined
-    while (isWatching(place)) {
+    while (isWatching(cache)) {
       try {
         position = position
-          ? await followEvents(place, position)
-          : await applySnapshot(place, 'first contact')
-        settleCache(place)
+          ? await followEvents(cache, position)
+          : await applySnapshot(cache, 'first contact')
+        settleCache(cache)
         await waitFor(timers, PAUSE_MS + watched.size * PAUSE_PER_CACHE_MS, stopping.signal)
       } catch (cause) {
-        if (!isWatching(place)) break
-        recordUnreachable(place, cause)
-        settleCache(place)
+        if (!isWatching(cache)) break
+        recordUnreachable(cache, cause)
+        settleCache(cache)
         await waitFor(timers, RETRY_PAUSE_MS, stopping.signal)
       }
     }
-    if (place.engine === undefined) recordStoreEpoch(place.address, undefined)
-    else directory.forget({ kind: 'engine', id: place.engine, address: place.address })
+    if (cache.engine === undefined) recordStoreEpoch(cache.address, undefined)
+    else directory.forget({ kind: 'engine', id: cache.engine, address: cache.address })
   }
   const refreshWatches = () => {
-    const places = new Map(listCaches().map((place) => [place.key, place]))
+    const places = new Map(listCaches().map((cache) => [cache.key, cache]))
     for (const key of watched.keys()) {
       if (places.has(key)) continue
       watched.delete(key)
       settled.delete(key)
     }
-    for (const [key, place] of places) {
+    for (const [key, cache] of places) {
       if (watched.has(key)) continue
-      watched.set(key, place)
-      settleTimers.add(timers.after(FIRST_ANSWERS_TIMEOUT_MS).subscribe(() => settleCache(place)))
-      void watchCache(place)
+      watched.set(key, cache)
+      settleTimers.add(timers.after(FIRST_ANSWERS_TIMEOUT_MS).subscribe(() => settleCache(cache)))
+      void watchCache(cache)
     }
   }
   const run = async () => {
@@ -246,7 +246,7 @@
     }
   }
   const running = run()
-  // The log that a new leader applies names the engines; waiting for the next look would be late.
+  // A new leader learns the engines by applying its log; the next periodic refresh would be too late.
   const refreshes = merge(member.elected, machine.fleetChanges).subscribe(refreshWatches)
   return {
     listReachableStores: () => [...storeEpochs].map(([address, epoch]) => ({ address, epoch })),
--- a/packages/control/src/registry/decodedTable.ts
+++ b/packages/control/src/registry/decodedTable.ts
@@ -1,4 +1,4 @@
-/** The routing table of a control instance, decoded once for each version. */
+/** The routing table of a control instance, decoded once per version. */
 import type { Logger } from '@spoolgate/core'
 import type { RoutingTable, TeamQuota } from '@spoolgate/routing'
 import { formatQuotaKey } from './quotaCredits.js'
@@ -7,18 +7,18 @@
 /** Options of {@link createDecodedTable}. */
 export interface DecodedTableOptions {
   readonly table: Pick<TableState, 'current'>
-  /** Decodes the operators' document; throws for one that this version cannot read. */
+  /** Decodes the operators' document; throws if this version cannot read it. */
   readonly decodeTable: (document: string) => RoutingTable
   readonly logger: Logger
 }
 
 /** See {@link createDecodedTable}. */
 export interface DecodedTable {
-  /** The newest that can be read; undefined before the first. */
+  /** The newest readable table; undefined before the first. */
   current(): RoutingTable | undefined
   /** Whether servers may serve a group: it is in the table, or there is no table yet. */
   isKnownGroup(name: string): boolean
-  /** Finds a team's quota by its `formatQuotaKey`; undefined for none of that unit. */
+  /** Finds a team's quota by its `formatQuotaKey`; undefined if the team has none in that unit. */
   findQuota(key: string): TeamQuota | undefined
 }
 
@@ -28,7 +28,7 @@
   )
 }
 
-/** Creates the reader of an instance's table. */
+/** Creates the decoded view of an instance's table. */
 export function createDecodedTable({
   table,
   decodeTable,
@@ -48,7 +48,7 @@
       groups = new Set(decoded.groups.map(({ name }) => name))
       quotas = listQuotas(decoded)
     } catch (cause) {
-      // Only a table of a newer version of this program comes here; the one before stays known.
+      // Only a table written for a newer version of this program gets here; the previous one stays in use.
       logger.error('table.unreadable', { version: held.version, reason: String(cause) })
     }
     return decoded
--- a/packages/control/src/registry/feed.ts
+++ b/packages/control/src/registry/feed.ts
@@ -1,8 +1,7 @@
 /**
- * The feed from the leader to routers: routing table, wanted weights, registered backend servers and
- * what other routers have in progress there. A router polls; the leader answers at once when there
- * is something new, and otherwise after a short wait. Each answer also proves that what the router
- * holds was the newest when it asked.
+ * Messages of the long-poll feed from the leader to routers: routing table, target weights, registered backend servers
+ * and the load that other routers have in progress there. The leader replies at once when there is something new, and
+ * otherwise after a short wait. Each reply also confirms that the router's state was current when it sent the poll.
  */
 import type { BackendServerId, RequestFingerprint } from '@spoolgate/core'
 import type { CrashReport, SuspectedRequest } from '../quarantine/crashReport.js'
@@ -10,159 +9,159 @@
 import type { TableUpdate } from '../table/tableUpdate.js'
 import type { QuotaGrants, QuotaReport } from './quotaCredits.js'
 
-/** Path of the feed at a control instance. */
+/** Path of the feed endpoint on a control instance. */
 export const FEED_PATH = '/feed'
-/** Path at any control instance of updates of the table that are too large for the feed. */
+/** Path, on any control instance, for table updates that are too large for the feed. */
 export const TABLE_PATH = '/table'
 
-/** Work that a router has in progress at one backend server. */
+/** Load that a router has in progress on one backend server. */
 export interface ServerLoad {
   readonly calls: number
-  /** Prompt tokens whose first token has not come yet. */
+  /** Prompt tokens of calls that have not returned their first token. */
   readonly promptTokens: number
-  /** Routers that the server has asked for rest; missing for none. */
+  /** Number of routers that the server has asked to back off; absent if none. */
   readonly backoffs?: number
 }
 
 /** Loads by backend server. */
 export type ServerLoads = Readonly<Record<string, ServerLoad>>
 
-/** Rate limit of a server, as a router observed it. */
+/** Rate limit of a server, as observed by a router. */
 export interface LimitReport {
   readonly server: string
-  /** Requests a second from all routers together; null once the server names none any more. */
+  /** Requests per second across all routers; null once the server no longer announces a limit. */
   readonly perSecond: number | null
-  /** Time since it was observed, in ms. */
+  /** Time since the observation, in ms. */
   readonly ageMs: number
 }
 
-/** The same with the part of the rate that a router may use, 0 to 1; missing for none. */
+/** A rate limit with the fraction of it assigned to the receiving router, 0 to 1; absent if none. */
 export interface AssignedLimit extends LimitReport {
   readonly part?: number
 }
 
-/** Limits of all servers that named one lately. */
+/** Limits of all servers that recently announced one. */
 export interface LimitsUpdate {
-  /** Whether parts are assigned; a router keeps its former ones otherwise. */
+  /** Whether fractions are assigned; otherwise a router keeps its previous ones. */
   readonly hasParts: boolean
   readonly servers: readonly AssignedLimit[]
 }
 
 /**
- * A prompt that a router sent to an engine: engine, weights version, then hash and tokens of each
- * prefix in turn. A flat list, since many of them travel.
+ * A prompt that a router sent to an engine: engine, weights version, then the hash and token count of each prefix.
+ * A flat tuple keeps the messages small, since there are many of them.
  */
 export type Placement = readonly [server: string, version: number, ...hashesAndTokens: number[]]
 
 /**
- * What an engine or store keeps, in the same form: parts with 0 tokens are gone. It comes from their
- * own cache events, while a {@link Placement} of a router says what will be read there.
+ * Cache content of an engine or store in the same form; entries with 0 tokens were evicted. It comes from the cache
+ * events of the engine or store, whereas a {@link Placement} from a router announces what will be prefilled there.
  */
 export type CachedPlacement = Placement
 
-/** Placements in one reply; at 60 bytes each they stay under 15 KB a second. */
+/** Maximum placements per reply; at 60 bytes each this stays below 15 KB per second. */
 export const MAX_PLACEMENTS_PER_REPLY = 100
 
 /**
- * Where a router stands in the list of all that engines and stores keep. The list is sent place by
- * place in the order of their names, over several replies; the last name is followed by the first.
+ * Cursor of a router in the paginated list of all cached prefixes. Pages hold whole locations ordered by name and are
+ * sent over several replies; the list wraps around after the last name.
  */
 export interface CacheListCursor {
-  /** Place that was sent last; empty before the first. */
+  /** Location that was sent last; empty before the first. */
   readonly after: string
-  /** Places that are still to be sent; 0 once the router knows the list. */
+  /** Number of locations still to be sent; 0 once the router has the full list. */
   readonly left: number
 }
 
-/** A store of KV cache that answers. */
+/** A KV cache store that responds. */
 export interface ReachableStore {
   readonly address: string
-  /** Changes with each restart, after which the store is empty. */
+  /** Changes with each restart, which empties the store. */
   readonly epoch: number
 }
 
-/** What only the leader knows of servers now; none of it survives it. */
+/** Server state that only the current leader knows; it is lost when the leader changes. */
 export interface ServerConditions {
-  /** Servers that are loading weights, or about to. */
+  /** Servers that are loading weights or about to load them. */
   readonly loading: readonly BackendServerId[]
-  /** Servers whose weights are so old that nothing may begin on them any more. */
+  /** Servers whose weights are too old for new calls. */
   readonly expired: readonly BackendServerId[]
-  /** Servers that missed their last heartbeats. */
+  /** Servers that missed their most recent heartbeats. */
   readonly silent: readonly BackendServerId[]
-  /** Stores of KV cache that answer. */
+  /** KV cache stores that respond. */
   readonly stores: readonly ReachableStore[]
 }
 
-/** What a router asks. */
+/** Poll of a router. */
 export interface FeedRequest {
   readonly router: string
-  /** Version of the table that the router holds; -1 for none. */
+  /** Version of the router's routing table; -1 for none. */
   readonly tableVersion: number
-  /** Newest version of the table that was reported to the router, and may be fetching; -1 for none. */
+  /** Newest table version reported to the router, which may still be fetching it; -1 for none. */
   readonly tableReported: number
-  /** Revision of the rest that the router holds, with the term that counted it. */
+  /** Revision of the rest of the router's state, and the term in which it was counted. */
   readonly term: number
   readonly revision: number
   readonly loads: ServerLoads
-  /** Prompts that this router sent to engines since it last asked. */
+  /** Prompts that this router sent to engines since its last poll. */
   readonly placements: readonly Placement[]
-  /** Number of the last placement that was reported to this router, as this term counts them. */
+  /** Sequence number, within the term, of the last placement reported to this router. */
   readonly placementsSeen: number
-  /** Number of the last change of what is kept that was reported to this router, in the same way. */
+  /** Sequence number, within the term, of the last cache change reported to this router. */
   readonly keptSeen: number
-  /** Where this router stands in the list of all that is kept. */
+  /** Cursor of this router in the list of all cached prefixes. */
   readonly keptPosition: CacheListCursor
-  /** What this router saw of requests under which servers end; missing before version 0.5. */
+  /** Outcomes of requests that may crash servers; absent before version 0.5. */
   readonly blame?: CrashReport
-  /** Revision of the suspected requests that this router holds, as this term counts them. */
+  /** Revision, within the term, of this router's list of suspected requests. */
   readonly suspectsSeen?: number
-  /** Limits that this router observed and no leader of the term has acknowledged. */
+  /** Limits observed by this router that the leader of the term has not acknowledged. */
   readonly limits?: readonly LimitReport[]
-  /** Revision of the limits that this router holds, as this term counts them. */
+  /** Revision, within the term, of this router's limits. */
   readonly limitsSeen?: number
-  /** How much of the teams' limits this router uses; missing before version 0.6. */
+  /** This router's use of the team quotas; absent before version 0.6. */
   readonly quotas?: QuotaReport
-  /** Longest wait for something new, in ms. */
+  /** Maximum time that the leader may hold the poll, in ms. */
   readonly waitMs: number
 }
 
-/** What the leader answers. */
+/** Reply of the leader. */
 export interface FeedReply {
   readonly term: number
   readonly revision: number
   /** Newest version of the table; -1 for none. */
   readonly tableVersion: number
   /**
-   * Leads from the version that the router holds to the newest. Left out where it is large: the router
-   * then fetches it at {@link TABLE_PATH}, so that nothing else waits behind it.
+   * Update from the router's version to the newest. Omitted if it is large: the router then fetches it from
+   * {@link TABLE_PATH}, so that it does not delay the rest of the feed.
    */
   readonly tableUpdate?: TableUpdate
-  /** The rest is present when the router holds another revision. */
+  /** This and the following fields are present if the router's revision differs. */
   readonly weights?: Readonly<Record<string, number>>
   readonly servers?: ServerNews
   readonly conditions?: ServerConditions
   /** URLs of the control instances. */
   readonly control?: readonly string[]
-  /** Routers that polled lately. */
+  /** Number of routers that polled recently. */
   readonly routers: number
-  /** What all other routers have in progress. */
+  /** Load that all other routers have in progress. */
   readonly loads: ServerLoads
-  /** Prompts that other routers sent to engines since the last reply; the newest of too many. */
+  /** Prompts that other routers sent to engines since the last reply; only the newest if there are too many. */
   readonly placements: readonly Placement[]
-  /** Number of the last placement so far. */
+  /** Sequence number of the last placement. */
   readonly placementsSeen: number
-  /** Changes of what is kept since the last reply, then a piece of the list of all that is kept. */
+  /** Cache changes since the last reply, followed by a page of the list of all cached prefixes. */
   readonly kept: readonly CachedPlacement[]
   readonly keptSeen: number
-  /** All requests in quarantine or suspected; present when the router holds another revision of them. */
+  /** All quarantined or suspected requests; present if the router's revision of them differs. */
   readonly suspects?: readonly SuspectedRequest[]
   readonly suspectsSeen?: number
-  /** Request in quarantine that this router, and no other, may send once. */
+  /** Quarantined request that this router alone may send once as a trial. */
   readonly trial?: RequestFingerprint
   readonly keptPosition: CacheListCursor
-  /** Present when the router holds another revision of them. */
+  /** Present if the router's revision of the limits differs. */
   readonly limits?: LimitsUpdate
   readonly limitsSeen?: number
-  /** Credits of the teams' limits; present when the router reported its use. */
+  /** Quota credits of the teams; present if the router reported its use. */
   readonly quotas?: QuotaGrants
 }
--- a/packages/control/src/registry/feedClient.ts
+++ b/packages/control/src/registry/feedClient.ts
@@ -1,6 +1,6 @@
 /**
- * A router's side of the feed: one task that polls the leader, finds it again when it changes, and
- * keeps what it receives. It knows how old the proof is that it holds the newest.
+ * A router's side of the feed: one task that polls the leader, searches for a new leader after a change, and holds the
+ * received state. It tracks when that state was last confirmed as current.
  */
 import {
   waitFor,
@@ -31,102 +31,102 @@
 
 /** Options of {@link createFeedClient}. */
 export interface FeedClientOptions {
-  /** Name under which control counts this router. */
+  /** Name that identifies this router to control. */
   readonly router: string
-  /** URLs of the control instances to start from; read again whenever no other answers. */
+  /** Seed URLs of the control instances; read again on each search for an instance. */
   readonly seeds: () => readonly string[]
   readonly client: HttpClient
   readonly timers: TimerService
   readonly random: RandomSource
   readonly logger: Logger
-  /** Decodes the operators' document; throws for one that this version cannot read. */
+  /** Decodes the operators' document; throws if this version cannot read it. */
   readonly decodeTable: (document: string) => RoutingTable
-  /** What this router has in progress. */
+  /** Lists the load that this router has in progress. */
   readonly listLoads: () => ServerLoads
-  /** Takes what this router placed since it was last asked. */
+  /** Drains the placements that this router made since the last call. */
   readonly takePlacements: () => Placement[]
-  /** Called with what other routers placed. */
+  /** Called with the placements of other routers. */
   readonly onPlacements: (placements: readonly Placement[]) => void
-  /** What this router knows of requests under which servers ended. */
+  /** Outcomes that this router saw of requests that may crash servers. */
   readonly blame: Pick<CrashReportBuffer, 'listUnreported' | 'recordReported'>
-  /** Limits of servers that this router observed. */
+  /** Server rate limits observed by this router. */
   readonly limits: LimitRecord
-  /** What this router uses of the teams' limits. */
+  /** This router's use of the team quotas. */
   readonly quotas: QuotaRecord
-  /** Called with all requests that are suspected or in quarantine, after each change. */
+  /** Called after each change with all suspected or quarantined requests. */
   readonly onSuspects: (suspects: readonly SuspectedRequest[]) => void
-  /** Called with a request in quarantine that this router may send once. */
+  /** Called with a quarantined request that this router may send once as a trial. */
   readonly onTrial: (request: RequestFingerprint) => void
-  /** Called with what engines and stores say that they keep. */
+  /** Called with cache content reported by engines and stores. */
   readonly onCacheChanges: (placements: readonly CachedPlacement[]) => void
 }
 
-/** Limits that this router observed, until the leader has acknowledged them. */
+/** Limits observed by this router, held until the leader acknowledges them. */
 export interface LimitRecord {
   listUnreported(term: number): ObservedLimits
   recordAcknowledged(observed: ObservedLimits): void
-  /** Called with the limits that the leader knows; `askedAt` is the poll's instant, in ms of the steady clock. */
+  /** Applies the limits known to the leader; `askedAt` is when the poll was sent, in ms of `TimerService.now`. */
   applyUpdate(update: LimitsUpdate, askedAt: number): void
 }
 
-/** Use of the teams' limits by this router. Instants are in ms of the clock for promises. */
+/** This router's use of the team quotas. Instants are in ms of the clock that includes suspension (`promiseNow`). */
 export interface QuotaRecord {
   buildReport(now: number): QuotaReport
   applyGrants(grants: QuotaGrants, askedAt: number): void
 }
 
-/** Limits that one report holds. */
+/** Limits sent in one poll. */
 export interface ObservedLimits {
   readonly term: number
   readonly reports: readonly LimitReport[]
 }
 
-/** A follower of the feed. */
+/** A client of the feed; see {@link createFeedClient}. */
 export interface FeedClient {
-  /** Undefined before the first table was fetched. */
+  /** The router's state of the fleet; undefined before the first table arrives. */
   current(): FleetView | undefined
-  /** Ms since this router last polled and had confirmed that it holds the newest; Infinity for never. */
+  /** Time since the poll that last confirmed the router's table as the newest, in ms; Infinity if never. */
   proofAgeMs(): number
-  /** URL of the instance that answered last; undefined while none does. */
+  /** URL of the instance that answered last; undefined while none responds. */
   leaderUrl(): string | undefined
   /** Emits after each change of the table, the weights or the servers. */
   readonly changes: Observable<FleetView>
   close(): Promise<void>
 }
 
-/** Wait that a poll asks for, in ms: the age of what routers know of each other's calls. */
+/** Minimum wait that a poll asks for, in ms; it determines how stale the loads of other routers are. */
 const MIN_WAIT_MS = 100
-/** Wait added for each router, in ms: it bounds the polls that the leader answers. */
+/** Wait added per router, in ms; it limits the poll rate at the leader. */
 const WAIT_PER_ROUTER_MS = 2
-/** Silence beyond the wait after which other instances are asked as well, in ms. */
+/** Time beyond the wait without a reply after which other instances are also asked, in ms. */
 const ANSWER_TIMEOUT_MS = 500
-/** Pause after an answer that cannot be read, in ms: the next will most likely be like it. */
+/** Pause after an unreadable reply, in ms, since the next one is likely to be unreadable too. */
 const UNREADABLE_PAUSE_MS = 500
-/** Placements that are kept until a leader has taken them; more than one poll brings. */
+/** Maximum placements held until a leader acknowledges them; more than one poll produces. */
 const MAX_UNREPORTED_PLACEMENTS = 200
 
-/** A reply with the facts of its ask. */
+/** A reply with the data of its poll. */
 interface FeedAnswer {
   readonly reply: FeedReply
-  /** When it was asked for, in ms of the monotonic clock. */
+  /** When the poll was sent, in ms of the clock that includes suspension (`promiseNow`). */
   readonly askedAt: number
-  /** Placements that were reported with it. */
+  /** Placements sent in the poll. */
   readonly reported: ReadonlySet<Placement>
-  /** What was reported of requests. */
+  /** Request outcomes sent in the poll. */
   readonly blame: UnreportedOutcomes
   readonly limits: ObservedLimits
-  /** When it was asked for, in ms of the steady clock. */
+  /** When the poll was sent, in ms of `TimerService.now`. */
   readonly sentAt: number
 }
 
-/** Statement of the leader that a version was the newest. */
+/** Confirmation by the leader that a table version was the newest. */
 interface TableProof {
   readonly version: number
-  /** When the router asked, in ms of the clock for promises. */
+  /** When the poll was sent, in ms of the clock that includes suspension (`promiseNow`). */
   readonly askedAt: number
 }
 
-/** Creates a follower and starts its task. */
+/** Creates a client and starts polling. */
 export function createFeedClient(options: FeedClientOptions): FeedClient {
   const { client, timers, logger } = options
   const stopping = new AbortController()
@@ -134,12 +134,12 @@
   const replica = createFleetReplica(options)
   let unreportedPlacements: readonly Placement[] = []
   let provenAt = -Infinity
-  /** What proves the version that the router is fetching, once it holds that. */
+  /** Confirmation of the version that is being fetched; takes effect once the router holds it. */
   let pendingProof: TableProof | undefined
-  /** Instance that answered last. */
+  /** URL of the instance that answered last. */
   let leader: string | undefined
 
-  /** Wait that a poll asks for; what is kept comes in pieces, one right after the other. */
+  /** Wait that a poll asks for; 0 while pages of the cache list remain, so that they follow without delay. */
   const findWaitMs = (url: string) => {
     if (url !== leader || replica.position().keptPosition.left > 0) return 0
     return Math.max(MIN_WAIT_MS, replica.countRouters() * WAIT_PER_ROUTER_MS)
@@ -181,7 +181,7 @@
       pendingProof = proof
       return
     }
-    // An ask that was silent for a while may be answered after a younger one.
+    // A delayed reply may arrive after the reply to a later poll.
     provenAt = Math.max(provenAt, proof.askedAt)
   }
   const listInstances = () => [...new Set([...replica.listControl(), ...options.seeds()])]
@@ -251,7 +251,7 @@
       try {
         await followLeader()
       } catch (cause) {
-        // Only what cannot be read comes here: a table of a newer version of this program.
+        // Only an unreadable reply gets here: a table written for a newer version of this program.
         logger.error('feed.unreadable', { url: leader, reason: String(cause) })
         leader = undefined
         await waitFor(timers, UNREADABLE_PAUSE_MS, stopping.signal)
@@ -261,7 +261,7 @@
   const running = run()
   return {
     current: replica.view,
-    // What is held may have been replaced while this machine was suspended.
+    // Counts suspension: the table may have been replaced while this machine was suspended.
     proofAgeMs: () => timers.promiseNow() - provenAt,
     leaderUrl: () => leader,
     changes,
--- a/packages/control/src/registry/feedSource.ts
+++ b/packages/control/src/registry/feedSource.ts
@@ -36,70 +36,70 @@
   readonly machine: ControlMachine
   readonly timers: TimerService
   readonly findConditions: () => ServerConditions
-  /** Emits when the conditions changed. */
+  /** Emits when the conditions change. */
   readonly conditionChanges: Observable<void>
   readonly tables: TableHistory
-  /** Judges requests under which servers end. */
-  readonly blame: QuarantineCoordinator
-  /** Limits of teams. */
+  /** Quarantines requests that crash servers. */
+  readonly quarantine: QuarantineCoordinator
+  /** Quotas of the teams. */
   readonly quotas: QuotaBuckets
-  /** What engines and stores keep, for routers that do not know it yet. */
+  /** Cache content of engines and stores, for routers that do not have it yet. */
   readonly cacheDirectory: Pick<CacheDirectory, 'readPage'>
-  /** Waits until what engines and stores keep is known, for a little while. */
+  /** Waits a bounded time until the cache content of engines and stores is known. */
   readonly waitForCacheDirectory: () => Promise<void>
-  /** Emits when the instance stops: waiting polls are answered at once. */
+  /** Emits when the instance stops; held polls are answered at once. */
   readonly stopping: Observable<unknown>
   /**
-   * Turns in which large answers are given.
-   * @default those of this process's event loop
+   * Queue that serialises large replies.
+   * @default a queue on this process's event loop
    */
   readonly turns?: TurnQueue
 }
 
-/** Answers polls; see {@link createFeedSource}. */
+/** Answers the polls of routers; see {@link createFeedSource}. */
 export interface FeedSource {
   /**
-   * Waits for something new, or for the wait that the router asked for.
-   * @throws SpoolgateError unless this instance leads and holds its lease.
+   * Replies as soon as there is an update, or after the wait that the router asked for.
+   * @throws SpoolgateError unless this instance is the leader and holds its lease.
    */
   answer(request: FeedRequest, response: ServerResponse): Promise<FeedReply>
   /**
-   * Grants credits at once.
-   * @throws SpoolgateError unless this instance leads and holds its lease.
+   * Grants quota credits without waiting.
+   * @throws SpoolgateError unless this instance is the leader and holds its lease.
    */
   grantQuotas(report: QuotaReport): QuotaGrants
   /**
-   * Lists the limits of teams and their use.
-   * @throws SpoolgateError unless this instance leads and holds its lease.
+   * Lists the quotas of the teams and their use.
+   * @throws SpoolgateError unless this instance is the leader and holds its lease.
    */
   listQuotas(): readonly QuotaStatus[]
-  /** Notes what engines and stores keep now, for all routers. */
+  /** Queues changes of cache content for all routers. */
   addCacheChanges(placements: readonly CachedPlacement[]): void
-  /** Sums up what all routers have in progress. */
+  /** Sums the load that all routers have in progress. */
   sumLoads(): ServerLoads
 }
 
-/** Time after which a router that does not ask is no longer counted, in ms; six polls. */
+/** Time after its last poll at which a router is no longer counted, in ms; six polls. */
 const ROUTER_EXPIRY_MS = 3_000
-/** Longest wait that a router may ask for, in ms. */
+/** Upper bound of the wait that a router may ask for, in ms. */
 const MAX_WAIT_MS = 1_000
 /**
- * Time for which a poll is held while no leader is known, in ms: it bounds the polls, and is below the silence after
- * which a router asks another instance as well.
+ * Time for which a poll is held while no leader is known, in ms. It limits the poll rate, and is shorter than the
+ * timeout after which a router also asks another instance.
  */
 const MAX_LEADER_WAIT_MS = 250
-/** Time between two looks whether a leader is known, while somebody waits for it, in ms. */
+/** Period of checking for a known leader while a poll waits for one, in ms. */
 const LEADER_CHECK_PERIOD_MS = 25
-/** Entries in one piece of the list of all cached prefixes: at 20 bytes each, as much as a routing table. */
+/** Maximum entries per page of the list of all cached prefixes; at 20 bytes each, the size of a routing table. */
 const MAX_CACHE_ENTRIES_PER_REPLY = 1_000
 /**
- * Largest update of the table that an answer carries, in bytes: the whole table of the users' sites at their
- * start takes 6 KB, and 70 of this size take a link of 100 Mbit/s for 0.09 s.
+ * Largest table update sent in a reply, in bytes. The full initial table of the users' sites is 6 KB, and 70 updates
+ * of this maximum size occupy a 100 Mbit/s link for 0.09 s.
  */
 const MAX_TABLE_BYTES = 16 * 1024
-/** Position of a router that knows nothing of what is kept. */
+/** Cursor of a router that has no cache content yet. */
 const FULL_LIST: CacheListCursor = { after: '', left: Number.MAX_SAFE_INTEGER }
-/** Sender of what comes from no router. */
+/** Sender of placements that do not come from a router. */
 const NO_ROUTER = 'nobody'
 
 function isSameWeights(
@@ -110,9 +110,9 @@
   return models.length === Object.keys(b).length && models.every((model) => a[model] === b[model])
 }
 
-/** Creates the source. */
+/** Creates the leader's side of the feed. */
 export function createFeedSource(options: FeedSourceOptions): FeedSource {
-  const { member, machine, timers, blame } = options
+  const { member, machine, timers, quarantine: quarantine } = options
   const loads = createLoadSum({ timers, routerLifeMs: ROUTER_EXPIRY_MS })
   const limits = createLimitParts({
     timers,
@@ -123,7 +123,7 @@
   const cacheChanges = createPlacementLog()
   const turns = options.turns ?? createTurnQueue()
   let currentTerm: number | undefined
-  /** Counts the changes of all that {@link FeedReply} reports by revision. */
+  /** Counts changes of the state that {@link FeedReply} reports by revision. */
   let revision = 0
   const serverChanges = createServerChanges(machine.servers.list)
   let knownWeights = machine.weights.list()
@@ -137,16 +137,18 @@
   options.conditionChanges.subscribe(() => {
     revision += 1
   })
-  const changes = merge(machine.fleetChanges, options.conditionChanges, blame.changes)
+  const changes = merge(machine.fleetChanges, options.conditionChanges, quarantine.changes)
 
   const checkLeading = () => {
     const { role, leader, leaderUrl } = member.status()
     if (role !== 'leader') {
-      throw new SpoolgateError('notLeader', 'ask the leader', { details: { leader, leaderUrl } })
+      throw new SpoolgateError('notLeader', 'this instance is not the leader; ask the leader', {
+        details: { leader, leaderUrl },
+      })
     }
     member.checkCurrent()
   }
-  /** Whether a router that asks here can get the table, or the leader's address. */
+  /** Whether this instance can serve the table, or name the leader. */
   const isLeaderKnown = () => {
     const { role, leader } = member.status()
     return role === 'leader' ? member.isCurrent() : leader !== undefined
@@ -157,12 +159,12 @@
     await firstValueFrom(isOver, { defaultValue: undefined })
   }
 
-  /** A router that polled another leader last has none of this one's numbers. */
+  /** Sequence numbers and revisions of a router that last polled another leader are not valid in this term. */
   const isCurrentTerm = (request: FeedRequest) => request.term === member.status().term
   const findCacheCursor = (request: FeedRequest): CacheListCursor => {
     if (!isCurrentTerm(request)) return FULL_LIST
     const isTooFarBehind = cacheChanges.last() - request.keptSeen > MAX_PLACEMENTS_PER_REPLY
-    // The list goes on where it stood, once around, so that no piece is sent in vain.
+    // Continues from the cursor and wraps around once, so that no page is sent twice.
     return isTooFarBehind
       ? { ...FULL_LIST, after: request.keptPosition.after }
       : request.keptPosition
@@ -177,18 +179,18 @@
     options.quotas.reset(term)
     currentTerm = term
   }
-  /** Records what a router reports; returns the request that it may try. */
+  /** Records the reports of a router; returns the quarantined request that it may try. */
   const recordRouter = (request: FeedRequest) => {
     startTerm()
     placements.add(request.router, request.placements)
     loads.record(request.router, request.loads)
     limits.record(request.limits ?? [])
     if (request.quotas) options.quotas.settle(request.quotas)
-    return request.blame && blame.record(request.blame)
+    return request.blame && quarantine.record(request.blame)
   }
   const findTableVersion = () => machine.table.current()?.version ?? NO_TABLE_VERSION
   const isNewTable = (request: FeedRequest) => findTableVersion() > request.tableReported
-  /** Routers that a version was reported to before have it, or are fetching it. */
+  /** Routers to which a version was already reported have it or are fetching it. */
   const findTableUpdate = (request: FeedRequest) => {
     if (!isNewTable(request)) return undefined
     const update = options.tables.findUpdate(request.tableVersion)
@@ -196,7 +198,7 @@
   }
   const isNewSuspects = (request: FeedRequest) =>
     !isCurrentTerm(request) ||
-    (request.suspectsSeen !== undefined && request.suspectsSeen !== blame.revision())
+    (request.suspectsSeen !== undefined && request.suspectsSeen !== quarantine.revision())
   const isNewLimits = (request: FeedRequest) =>
     !isCurrentTerm(request) ||
     (request.limitsSeen !== undefined && request.limitsSeen !== limits.revision())
@@ -205,8 +207,8 @@
     return request.revision !== revision
   }
   /**
-   * Whether the answer holds all servers or a piece of what is kept. Such answers take turns, so that a router without
-   * a table does not wait for the lists of those that asked later; small ones do not need to.
+   * Whether the reply contains all servers or a page of cache content. Such replies are queued, so that a router without
+   * a table does not wait behind the lists of routers that polled later; small replies bypass the queue.
    */
   const isLarge = (request: FeedRequest) => !isCurrentTerm(request) || request.keptPosition.left > 0
   const buildReply = (request: FeedRequest): FeedReply => {
@@ -232,8 +234,8 @@
       keptPosition: page.cursor,
       limits: isNewLimits(request) ? limits.buildUpdate(request.router) : undefined,
       limitsSeen: limits.revision(),
-      suspects: isNewSuspects(request) ? blame.list() : undefined,
-      suspectsSeen: blame.revision(),
+      suspects: isNewSuspects(request) ? quarantine.list() : undefined,
+      suspectsSeen: quarantine.revision(),
       quotas: request.quotas && options.quotas.listGrants(request.quotas),
     }
     if (isCurrentTerm(request) && request.revision === revision) return common
--- a/packages/control/src/registry/fleetReplica.ts
+++ b/packages/control/src/registry/fleetReplica.ts
@@ -1,6 +1,6 @@
 /**
- * What a router holds of the fleet, as the feed reported it: routing table, weights, servers and their
- * conditions, and where the router stands in the feed. A table never goes back to an older version.
+ * A router's replica of the fleet state received over the feed: routing table, weights, servers and their conditions,
+ * and the router's position in the feed. The table never reverts to an older version.
  */
 import type { BackendServerId, Logger, TimerService } from '@spoolgate/core'
 import { buildTableIndex, type RoutingTable, type TableIndex } from '@spoolgate/routing'
@@ -22,28 +22,28 @@
   ReachableStore,
 } from './feed.js'
 
-/** What a router knows of the fleet. */
+/** Fleet state as seen by a router. */
 export interface FleetView {
   readonly index: TableIndex
   readonly weights: Readonly<Record<string, number>>
-  /** When this router learned of each model's wanted weights, in ms of its monotonic clock. */
+  /** When this router received each model's target weights, in ms of its monotonic clock. */
   readonly weightsSince: Readonly<Record<string, number>>
   readonly servers: ReadonlyMap<BackendServerId, RegisteredServer>
-  /** Servers that are loading weights, or about to. */
+  /** Servers that are loading weights or about to load them. */
   readonly loading: ReadonlySet<BackendServerId>
-  /** Servers whose weights are so old that nothing may begin on them any more. */
+  /** Servers whose weights are too old for new calls. */
   readonly expired: ReadonlySet<BackendServerId>
-  /** Servers that missed their last heartbeats. */
+  /** Servers that missed their most recent heartbeats. */
   readonly silent: ReadonlySet<BackendServerId>
-  /** Stores of KV cache that answer. */
+  /** KV cache stores that respond. */
   readonly stores: readonly ReachableStore[]
-  /** Routers that polled control lately, this one included. */
+  /** Number of routers that polled control recently, including this one. */
   readonly routers: number
-  /** What the other routers have in progress, as of the last poll. */
+  /** Load that the other routers had in progress at the last poll. */
   readonly loads: ServerLoads
 }
 
-/** Where a router stands in the feed. */
+/** A router's position in the feed: versions, revisions and cursors of what it has received. */
 export type FeedPosition = Pick<
   FeedRequest,
   | 'tableVersion'
@@ -61,27 +61,27 @@
 export interface FleetReplicaOptions {
   readonly timers: TimerService
   readonly logger: Logger
-  /** Decodes the operators' document; throws for one that this version cannot read. */
+  /** Decodes the operators' document; throws if this version cannot read it. */
   readonly decodeTable: (document: string) => RoutingTable
 }
 
-/** What a router holds; see {@link createFleetReplica}. */
+/** See {@link createFleetReplica}. */
 export interface FleetReplica {
-  /** Undefined before the first table. */
+  /** Current view; undefined before the first table. */
   view(): FleetView | undefined
   position(): FeedPosition
-  /** URLs of the control instances; none before the first reply. */
+  /** URLs of the control instances; empty before the first reply. */
   listControl(): readonly string[]
-  /** Routers that polled control lately, this one included. */
+  /** Number of routers that polled control recently, including this one. */
   countRouters(): number
   /**
-   * Takes over a reply; true when table, weights or servers came with it.
-   * @throws what `decodeTable` throws; nothing of the reply is taken over then.
+   * Applies a reply; true if it contained a new table, weights or servers.
+   * @throws what `decodeTable` throws; the reply is then not applied at all.
    */
   apply(reply: FeedReply): boolean
   /**
-   * Takes over an update of the table; true when it led to a newer version, false when it does not fit.
-   * @throws what `decodeTable` throws; the table stays as it was then.
+   * Applies a table update; true if it installed a newer version, false if it does not apply.
+   * @throws what `decodeTable` throws; the table is then unchanged.
    */
   applyTable(update: TableUpdate): boolean
 }
@@ -107,7 +107,7 @@
   }
 }
 
-/** Creates what a router holds at its start: nothing. */
+/** Creates an empty replica. */
 export function createFleetReplica({
   timers,
   logger,
@@ -149,7 +149,7 @@
     })
     return true
   }
-  /** False when the news belong to another revision than the one held: then all servers are asked for. */
+  /** Returns false if the changes are based on another revision; all servers are then requested. */
   const applyServers = ({ since, changed, gone }: ServerNews) => {
     if (since !== null && since !== position.revision) return false
     const next = new Map(since === null ? [] : servers)
@@ -160,7 +160,7 @@
   }
   const applyWeights = (next: Readonly<Record<string, number>>) => {
     const changed = Object.keys(next).filter((model) => next[model] !== weights[model])
-    // Nobody knows for how long the first ones that a router learns of have been wanted.
+    // For the first weights that a router receives, the time since they became the target is unknown.
     const isFirst = Object.keys(weights).length === 0
     const at = isFirst ? -Infinity : timers.now()
     weightsSince = { ...weightsSince, ...Object.fromEntries(changed.map((model) => [model, at])) }
--- a/packages/control/src/registry/registryControl.ts
+++ b/packages/control/src/registry/registryControl.ts
@@ -247,7 +247,7 @@
     machine,
     timers,
     tables,
-    blame,
+    quarantine: blame,
     findConditions: () => ({
       loading: rollout.listLoading(),
       expired: watch.listExpired(),
--- a/packages/control/src/registry/tableAccess.ts
+++ b/packages/control/src/registry/tableAccess.ts
@@ -1,4 +1,4 @@
-/** The routing table for operators at any control instance: put and read, whole, wherever the leader is. */
+/** Lets operators write and read the full routing table at any control instance, whichever instance leads. */
 import { SpoolgateError } from '@spoolgate/core'
 import type { PutTableResult, TableState } from '../state/tableState.js'
 import {
@@ -12,38 +12,41 @@
 /** Options of {@link createTableAccess}. */
 export interface TableAccessOptions {
   readonly operator: Pick<FleetOperator, 'run'>
-  /** The table of this instance, which may be behind. */
+  /** The table of this instance, which may lag behind the leader. */
   readonly table: Pick<TableState, 'current'>
 }
 
 /** See {@link createTableAccess}. */
 export interface TableAccess {
   /**
-   * Puts a table whose document was checked.
-   * @throws SpoolgateError `controlUnavailable` when it is not known whether it was accepted.
+   * Writes a table whose document has been validated.
+   * @throws SpoolgateError `controlUnavailable` if the outcome of the write is unknown.
    */
   put(table: HeldTable): Promise<PutTableResult>
   /**
    * Reads the newest table.
-   * @throws SpoolgateError `controlUnavailable` when nobody can be sure which one that is.
+   * @throws SpoolgateError `controlUnavailable` if no instance can confirm which one is the newest.
    */
   read(): Promise<HeldTable>
 }
 
-/** Creates the access of one instance. */
+/** Creates the table access of one instance. */
 export function createTableAccess({ operator, table }: TableAccessOptions): TableAccess {
   return {
     put: (next) => operator.run('putTable', { whole: buildTableUpdate(undefined, next) }),
     read: async () => {
       const held = table.current()
-      // What the leader proves is the number of the newest version; its text is mostly here already.
+      // The leader confirms the newest version number; this instance usually holds the document already.
       const { version, whole } = await operator.run('readTable', {
         heldVersion: held?.version ?? NO_TABLE_VERSION,
       })
       if (held && held.version === version) return held
       const newest = whole && applyTableUpdate(undefined, whole)
       if (newest) return newest
-      throw new SpoolgateError('controlUnavailable', 'the table came damaged; ask again')
+      throw new SpoolgateError(
+        'controlUnavailable',
+        'received a corrupt routing table; retry the request',
+      )
     },
   }
 }
--- a/packages/control/src/registry/tableFetcher.ts
+++ b/packages/control/src/registry/tableFetcher.ts
@@ -1,6 +1,6 @@
 /**
- * A router's way to tables that are too large for the feed: one task that fetches the newest from any
- * control instance while the polls go on, so that loads, servers and the proof of the leader do not wait.
+ * Fetches tables that are too large for the feed: one task in the router that downloads the newest table from any
+ * control instance while polling continues, so that loads, servers and the leader's confirmation are not delayed.
  */
 import {
   waitFor,
@@ -22,29 +22,29 @@
   readonly timers: TimerService
   readonly random: RandomSource
   readonly logger: Logger
-  /** Version that the router holds; -1 for none. */
+  /** Version of the router's table; -1 for none. */
   readonly heldVersion: () => number
-  /** Takes an update over; false when it does not fit. Throws for a table that cannot be read. */
+  /** Applies an update; false if it does not apply. Throws if the table is unreadable. */
   readonly onUpdate: (update: TableUpdate) => boolean
   readonly stopping: AbortSignal
 }
 
-/** The task; see {@link createTableFetcher}. */
+/** See {@link createTableFetcher}. */
 export interface TableFetcher {
-  /** Notes that there is a version; it is fetched unless the router holds it or a newer one. */
+  /** Requests a version; it is fetched unless the router holds it or a newer one. */
   requestVersion(version: number): void
-  /** Resolves once nothing is fetched any more. */
+  /** Resolves once no fetch is running. */
   close(): Promise<void>
 }
 
-/** Pause after an update that could not be used, in ms: the next will most likely be like it. */
+/** Pause after an unusable update, in ms, since the next one is likely to be unusable too. */
 const UNUSABLE_PAUSE_MS = 500
 
-/** Creates the task; nothing is fetched yet. */
+/** Creates an idle fetcher. */
 export function createTableFetcher(options: TableFetcherOptions): TableFetcher {
   const { client, timers, logger, heldVersion, stopping } = options
   let wantedVersion = NO_TABLE_VERSION
-  /** Set once an update did not fit, until one did. */
+  /** Set when an update does not apply, until one does. */
   let isFullTableNeeded = false
   let running: Promise<void> | undefined
 
@@ -67,7 +67,7 @@
   })
   const applyUpdate = async (url: string, update: TableUpdate) => {
     const held = heldVersion()
-    // An answer of the feed may have brought the router further in the meantime.
+    // A reply of the feed may have installed a newer table in the meantime.
     const isOutdated = update.version <= held || (update.base !== null && update.base !== held)
     if (isOutdated) return
     if (options.onUpdate(update)) {
@@ -83,7 +83,7 @@
       const found = await search.run()
       if (found) await applyUpdate(found.url, found.answer)
     } catch (cause) {
-      // Only what cannot be read comes here: a table of a newer version of this program.
+      // Only an unreadable table gets here: one written for a newer version of this program.
       const reason = String(cause)
       logger.error('table.unreadable', { held: heldVersion(), wantedVersion, reason })
       await waitFor(timers, UNUSABLE_PAUSE_MS, stopping)
@@ -92,7 +92,7 @@
   const isBehind = () => heldVersion() < wantedVersion && !stopping.aborted
   const run = async () => {
     while (isBehind()) await fetchNewest()
-    // In the turn of the last look, so that a version which is wanted from now on starts the task again.
+    // Reset in the same turn as the last check, so that a version requested later starts the task again.
     running = undefined
   }
   return {
--- a/packages/control/src/registry/tableSource.ts
+++ b/packages/control/src/registry/tableSource.ts
@@ -1,4 +1,4 @@
-/** A control instance's side of updates of the table that are too large for the feed. */
+/** Serves, at a control instance, the table updates that are too large for the feed. */
 import { SpoolgateError, type TimerService } from '@spoolgate/core'
 import { filter, firstValueFrom, fromEvent, map, race, type Observable } from 'rxjs'
 import type { ServerResponse } from 'node:http'
@@ -6,11 +6,11 @@
 import type { TableHistory } from '../table/tableHistory.js'
 import { NO_TABLE_VERSION, type TableUpdate } from '../table/tableUpdate.js'
 
-/** What a router asks. */
+/** Request of a router. */
 export interface TableRequest {
-  /** Version that it holds; -1 for none. */
+  /** Version of the router's table; -1 for none. */
   readonly heldVersion: number
-  /** Version that was reported to it; a newer one serves as well. */
+  /** Version reported to the router; a newer one is acceptable. */
   readonly wantedVersion: number
 }
 
@@ -18,31 +18,32 @@
 export interface TableSourceOptions {
   readonly table: Pick<TableState, 'current'>
   readonly tables: TableHistory
-  /** Emits after each change of the table, and at times without one. */
+  /** Emits after each change of the table, and sometimes without one. */
   readonly changes: Observable<unknown>
   readonly timers: TimerService
-  /** Emits when the instance stops: waiting requests are answered at once. */
+  /** Emits when the instance stops; held requests are answered at once. */
   readonly stopping: Observable<unknown>
 }
 
-/** Answers routers; see {@link createTableSource}. */
+/** Answers the table requests of routers; see {@link createTableSource}. */
 export interface TableSource {
   /**
-   * Finds the update to the newest version here. What is committed never changes, so any instance may
-   * answer, and each carries its part: from one link of 100 Mbit/s alone, 70 whole tables of 5,000 routes,
-   * 0.13 MB packed, would take 0.8 s.
-   * @throws SpoolgateError `controlUnavailable` when this instance does not come to hold the version.
+   * Returns the update to this instance's newest version. Committed tables never change, so any instance may answer,
+   * which spreads the transfer: over a single 100 Mbit/s link, 70 full tables of 5,000 routes, 0.13 MB compressed
+   * each, would take 0.8 s.
+   * @throws SpoolgateError `controlUnavailable` if this instance does not receive the version in time.
    */
   answer(request: TableRequest, response: ServerResponse): Promise<TableUpdate>
 }
 
 /**
- * Wait for a version that is accepted and not yet here, in ms: a member learns with the next heartbeat, after
- * 100 ms at most, what is committed. Below the silence after which a router asks another instance as well.
+ * Maximum wait for a committed version that this instance has not applied yet, in ms. A member learns the commit index
+ * with the next heartbeat, after at most 100 ms. Shorter than the timeout after which a router also asks another
+ * instance.
  */
 const MAX_WAIT_MS = 250
 
-/** Creates the source. */
+/** Creates the table source of one instance. */
 export function createTableSource(options: TableSourceOptions): TableSource {
   const { table, tables, changes, timers, stopping } = options
   const isHeld = (version: number) => (table.current()?.version ?? NO_TABLE_VERSION) >= version
@@ -58,7 +59,7 @@
       if (update) return update
       throw new SpoolgateError(
         'controlUnavailable',
-        'no newer table here yet; ask another instance',
+        'this instance does not hold the requested table version yet; ask another instance',
       )
     },
   }
--- a/packages/control/src/registry/tableWriter.ts
+++ b/packages/control/src/registry/tableWriter.ts
@@ -1,6 +1,6 @@
 /**
- * Changes of the routing table at the leader, one after the other: each is put into the log as what it
- * changes against the version before it.
+ * Serialises writes of the routing table at the leader: each is appended to the log as a patch against the previous
+ * version.
  */
 import type { Logger } from '@spoolgate/core'
 import type { RaftMember } from '../raft/types.js'
@@ -17,13 +17,13 @@
 /** See {@link createTableWriter}. */
 export interface TableWriter {
   /**
-   * Puts a table; resolves once it is known what became of it.
-   * @throws SpoolgateError `notLeader`, or `controlUnavailable` when the outcome is not known.
+   * Writes a table; resolves once the outcome is known.
+   * @throws SpoolgateError `notLeader`, or `controlUnavailable` if the outcome is unknown.
    */
   put(table: HeldTable): Promise<PutTableResult>
 }
 
-/** Creates the queue. */
+/** Creates the queue of table writes. */
 export function createTableWriter({ member, table, logger }: TableWriterOptions): TableWriter {
   let queueTail: Promise<unknown> = Promise.resolve()
 
@@ -41,18 +41,18 @@
   }
   const putNow = async (next: HeldTable): Promise<PutTableResult> => {
     const held = table.current()
-    // What is applied here is committed, so a version that is not above it needs no entry of its own.
+    // The applied table is committed, so a version that is not newer needs no log entry.
     if (held && next.version <= held.version) return { isNewer: false, version: held.version }
     const result = await propose(held, next)
     if (!result.isBaseMissing) return result
-    // An entry of an earlier leader came between. The whole table fits whatever is held.
+    // An entry of an earlier leader was applied in between. The full table applies to any version.
     return propose(undefined, next)
   }
   return {
     put: (next) => {
       const put = queueTail.then(() => putNow(next))
       queueTail = put.catch(() => {
-        // Reported to whoever sent it; the next change does not depend on it.
+        // The caller of `put` receives the error; the next write does not depend on it.
       })
       return put
     },
