--- a/packages/control/src/__tests__/cacheWatch.spec.ts
+++ b/packages/control/src/__tests__/cacheWatch.spec.ts
@@ -28,8 +28,8 @@
   return { scope, id, tokens }
 }
 
-describe('the index of kept parts', () => {
-  it('reports of each part what is left in the end, and lists it', () => {
+describe('the cache directory', () => {
+  it('reports the final token count of each part, and lists the cached parts', () => {
     const directory = createCacheDirectory()
     const reported = directory.apply(ENGINE, [
       createEntry(V1, 'a', 60),
@@ -41,7 +41,7 @@
     expect(directory.list()).to.deep.equal([['e1', 1, b, 30]])
   })
 
-  it('drops at an engine what was read under earlier weights, and keeps it at a store', () => {
+  it('drops parts of earlier weights at an engine, and retains them at a store', () => {
     const directory = createCacheDirectory()
     for (const place of [ENGINE, STORE]) {
       directory.apply(place, [createEntry(V1, 'a', 60)])
@@ -54,7 +54,7 @@
     expect(versions('store')).to.deep.equal([1, 2])
   })
 
-  it('reports what is missing in a full list', () => {
+  it('reports parts that are missing from a full list as evicted', () => {
     const directory = createCacheDirectory()
     directory.apply(STORE, [createEntry(V1, 'a', 60), createEntry(V1, 'b', 30)])
     const reported = directory.replace(STORE, [createEntry(V1, 'b', 30)])
@@ -65,7 +65,7 @@
     ])
   })
 
-  it('is listed in pieces, place by place, from where a router stands and once around', () => {
+  it('is paginated by location, from the cursor of a router and wrapping around once', () => {
     const directory = createCacheDirectory()
     const ids = ['e1', 'e2', 'e3']
     for (const id of ids) {
@@ -83,7 +83,7 @@
     expect(directory.readPage(position, 4).placements).to.deep.equal([])
   })
 
-  it('reports one place at least, however many parts it keeps', () => {
+  it('returns at least one location per page, however many parts it holds', () => {
     const directory = createCacheDirectory()
     directory.apply(ENGINE, [createEntry(V1, 'a', 60), createEntry(V1, 'b', 30)])
     const piece = directory.readPage({ after: '', left: Number.MAX_SAFE_INTEGER }, 1)
@@ -91,7 +91,7 @@
     expect(piece.cursor.left).to.equal(0)
   })
 
-  it('takes no notice of parts under a scope that is not of the fleet', () => {
+  it('ignores parts with a scope that is not of the fleet', () => {
     const directory = createCacheDirectory()
     expect(directory.apply(ENGINE, [createEntry('forged', 'a', 60)])).to.deep.equal([])
   })
@@ -108,7 +108,7 @@
     weights: [{ model: 'm', version: 1 }],
   }
 
-  /** Lets promises that are due settle. */
+  /** Lets pending promises settle. */
   const settle = async () => {
     for (let turn = 0; turn < 5; turn += 1) await new Promise((resolve) => setImmediate(resolve))
   }
@@ -163,7 +163,7 @@
     return { reported, asked, lists }
   }
 
-  it('begins with the whole list, and goes on after the last change that was reported to it', async () => {
+  it('starts with a snapshot, and continues after the last reported change', async () => {
     const { reported, asked, lists } = await watchEvents(
       (call) => ({
         epoch: 1,
@@ -181,7 +181,7 @@
     ])
   })
 
-  it('asks for the whole list again where events are missing', async () => {
+  it('fetches the snapshot again after lost events', async () => {
     const { reported, asked } = await watchEvents(
       (call) => ({ epoch: 1, next: 9, hasGap: call === 1, changes: [] }),
       (call) => (call === 1 ? [createEntry(V1, 'a', 60)] : [createEntry(V1, 'b', 30)]),
@@ -194,7 +194,7 @@
     ])
   })
 
-  it('starts at the first change of a new life', async () => {
+  it('starts at the first change of a new epoch', async () => {
     const { asked } = await watchEvents(
       (call) => ({ epoch: call < 2 ? 1 : 2, next: 50, hasGap: false, changes: [] }),
       () => [],
@@ -202,7 +202,7 @@
     expect(asked.slice(0, 4)).to.deep.equal([5, 50, 0, 50])
   })
 
-  /** Watches a number of engines whose lists come when they are released. */
+  /** Watches a number of engines whose snapshots resolve when they are released. */
   function watchEngines(count: number) {
     const timers = createManualTimerService()
     const machine = createControlMachine()
@@ -230,7 +230,7 @@
     return { timers, watch, listed, releaseAll }
   }
 
-  it('asks for 16 whole lists at a time, and comes to every place', async () => {
+  it('fetches at most 16 snapshots at a time, and reaches every engine', async () => {
     const { timers, watch, listed, releaseAll } = watchEngines(40)
     await settle()
     expect(listed).to.have.length(16)
@@ -244,10 +244,10 @@
     await closing
   })
 
-  describe('with a new leader', () => {
+  describe('at a new leader', () => {
     const answer: CacheSnapshot = { epoch: 1, next: 1, parts: [createEntry(V1, 'a', 9)] }
 
-    /** Watches one engine whose first answer comes when `release` is called. */
+    /** Watches one engine whose first snapshot resolves when `release` is called. */
     function watchSlowEngine() {
       const timers = createManualTimerService()
       const machine = createControlMachine()
@@ -258,7 +258,7 @@
         fetchSnapshot: () => new Promise((resolve) => (release = resolve)),
       }
       const watch = createWatch({ calls, machine, timers, reported })
-      // The engine is known only once the leader has applied its log.
+      // A leader learns of the engine only by applying its log.
       machine.apply({ kind: 'server.observe', server }, 1)
       let isReported = false
       void watch.waitForFirstAnswers().then(() => (isReported = true))
@@ -278,7 +278,7 @@
       }
     }
 
-    it('asks at once, and has everybody wait until the places have answered', async () => {
+    it('fetches at once, and makes callers wait until all engines have answered', async () => {
       const engine = watchSlowEngine()
       await settle()
       expect(engine.isReported()).to.equal(false)
@@ -289,7 +289,7 @@
       await engine.finish()
     })
 
-    it('waits no longer than 100 ms for a place that does not answer', async () => {
+    it('waits at most 100 ms for an engine that does not answer', async () => {
       const engine = watchSlowEngine()
       engine.timers.advance(99)
       await settle()
--- a/packages/control/src/__tests__/feedSimulation.ts
+++ b/packages/control/src/__tests__/feedSimulation.ts
@@ -1,6 +1,6 @@
 /**
- * Routers that all start at once, in virtual time: real followers and real sources of the feed on a
- * stand-in network, whose links carry so many bytes and whose processors do so much work.
+ * Simulates routers that all start at once, in virtual time: real clients and sources of the feed on a simulated network
+ * with limited link bandwidth and processor speed.
  */
 import {
   ConnectionError,
@@ -30,41 +30,41 @@
 import { buildServerIdentity } from '../state/serverState.js'
 import { createNoQuotas, NO_LIMITS, NO_QUOTAS } from './idleRecords.js'
 
-/** What starts, and on what. */
+/** Size of the simulated fleet and its resources. */
 export interface FeedSimulationOptions {
   readonly routers: number
   readonly engines: number
-  /** Prompt parts that each engine keeps. */
+  /** Prompt parts cached by each engine. */
   readonly partsPerEngine: number
-  /** Share of a core, and link, of a control instance. */
+  /** Cores and link bandwidth of a control instance. */
   readonly controlCores: number
   readonly controlMbps: number
-  /** The same of a router. */
+  /** Cores and link bandwidth of a router. */
   readonly routerCores: number
   readonly routerMbps: number
-  /** Ms after the start of the routers at which a leader is elected; it leads from then on. */
+  /** Time from the start of the routers to the election of the only leader, in ms. */
   readonly electedAt: number
-  /** Ms for which the leader is busy from then on with the lists of what engines keep. */
+  /** Time after the election for which cache snapshots keep the leader busy, in ms. */
   readonly listingMs: number
 }
 
-/** A herd. */
+/** See {@link createFeedSimulation}. */
 export interface FeedSimulation {
   readonly followers: readonly FeedClient[]
   readonly timers: ManualTimerService
-  /** By router, ms from the election to its first table; undefined for none yet. */
+  /** By router, time from the election to its first table, in ms; undefined if it has none. */
   readonly tableMs: readonly (number | undefined)[]
-  /** By router, parts that were reported to it. */
+  /** By router, number of cached parts reported to it. */
   readonly cachedParts: readonly number[]
-  /** What the routers have logged. */
+  /** Log lines of the routers. */
   readonly logLines: readonly string[]
-  /** Longest time that the work of the leader was late, in ms: its heartbeats wait as long. */
+  /** Longest backlog of the leader's processor, in ms; its heartbeats are delayed by as much. */
   longestLagMs(): number
-  /** Requests that reached the leader. */
+  /** Number of requests that reached the leader. */
   countLeaderRequests(): number
-  /** Puts a table with so many routes; control accepts it at once. */
+  /** Installs a table with this many routes; control accepts it at once. */
   putTable(version: number, routes: number): void
-  /** By router, ms from the acceptance of a version until the router had it, or a newer one. */
+  /** By router, time from the acceptance of a version until the router had it or a newer one, in ms. */
   listPropagationMs(version: number): readonly (number | undefined)[]
   run(duration: number): Promise<void>
   close(): Promise<void>
@@ -73,18 +73,18 @@
 const TERM = 3
 const INSTANCES = 6
 const STEP_MS = 5
-/** Turns of this process's event loop in one step, so that promises that are due settle. */
+/** Event loop turns per step, so that pending promises settle. */
 const TURNS_PER_STEP = 4
-/** One way between data halls, in ms. */
+/** One-way latency between data halls, in ms. */
 const NETWORK_DELAY_MS = 1
-/** Work of a request beside its bytes, in ms of a whole core; as docs/CAPACITY.md reckons. */
+/** Processor time of a request apart from its bytes, in ms of a full core; as in docs/CAPACITY.md. */
 const REQUEST_MS = 0.25
-/** Writing and reading of JSON, in ms of a whole core for a byte: measured on replies of 120 to 270 KB. */
+/** Time to write and read JSON, in ms of a full core per byte; measured with replies of 120 to 270 KB. */
 const WRITE_MS_PER_BYTE = 1e-5
 const READ_MS_PER_BYTE = 7e-6
 /**
- * The first pieces of work of a process that has just started take longer: writing a reply of 140 KB
- * took 2.2, 1.7 and from then on 0.8 ms.
+ * Slowdown of the first tasks of a newly started process: writing a reply of 140 KB took 2.2 ms, then 1.7 ms, and 0.8 ms
+ * from then on.
  */
 const WARM_UP_FACTORS = [2.8, 2.1]
 const BITS_PER_BYTE = 8
@@ -95,11 +95,11 @@
 const RULE_BYTES = 180
 const TEAMS = 140
 
-/** Something that does one thing after the other. */
+/** A processor or link that serves requests in sequence. */
 interface Resource {
-  /** Waits until `ms` of it were spent, after all that was asked for before. */
+  /** Occupies the resource for `ms` after all earlier requests; resolves at the end. */
   use(ms: number): Promise<void>
-  /** Ms of work that wait. */
+  /** Queued work, in ms. */
   backlogMs(): number
 }
 
@@ -116,7 +116,7 @@
   }
 }
 
-/** A version that was put, with when each router had it. */
+/** An accepted table version, with the time each router took to receive it. */
 interface AcceptedTable {
   readonly acceptedAt: number
   readonly ages: (number | undefined)[]
@@ -124,21 +124,21 @@
 
 interface Host {
   readonly processor: Resource
-  /** Pieces of work done so far. */
+  /** Number of tasks done so far. */
   workDone: number
   readonly link: Resource
   readonly cores: number
   readonly mbps: number
 }
 
-/** A routing table; with {@link ROUTES} it has the size that the users' sites have, about 30 KB. */
+/** Builds a routing table; with {@link ROUTES} it is as large as at the users' sites, about 30 KB. */
 export function buildDocument(version: number, routeCount: number): string {
   const random = createRandomSource(routeCount)
   const routes = Array.from({ length: routeCount }, (_, index) => ({
     name: `r-${index}`,
     host: `host${index % HOSTS}.example`,
     prefix: `/prefix${index}/a/b/`,
-    // As names are, no two alike: a table shrinks to a twelfth, and not to nothing.
+    // Unique names, so that the table compresses realistically, to a twelfth of its size.
     names: Array.from({ length: NAMES_PER_ROUTE }, () => random.next().toString(36).slice(2, 10)),
     rules: 'x'.repeat(RULE_BYTES),
   }))
@@ -182,7 +182,7 @@
   return kept
 }
 
-/** Starts a herd whose routers know the first three control instances. */
+/** Starts a simulation whose routers use the first three control instances as seeds. */
 export function createFeedSimulation(options: FeedSimulationOptions): FeedSimulation {
   const timers = createManualTimerService()
   const machine = createMachine(options.engines)
@@ -206,7 +206,7 @@
       isCurrent: () => true,
       checkCurrent: () => {},
     }) as unknown as RaftMember
-  /** A turn of an event loop lasts as long as the work that was begun in it. */
+  /** Each turn of the simulated event loop lasts until its processor has finished the queued work. */
   const createTurns = ({ processor }: Host) =>
     createTurnQueue((run) => {
       timers.after(Math.max(STEP_MS, processor.backlogMs())).subscribe(run)
@@ -280,24 +280,24 @@
     await work(place, REQUEST_MS + asked.length * READ_MS_PER_BYTE)
     if (url === leaderUrl) leaderRequests += 1
     const reply = JSON.stringify(await answerAt(source, pathname, asked, response))
-    // What the caller no longer waits for was built all the same, but is not sent.
+    // The reply is built even if the caller has aborted, but not sent.
     await work(place, REQUEST_MS + reply.length * WRITE_MS_PER_BYTE)
     if (url === leaderUrl) longestLagMs = Math.max(longestLagMs, place.processor.backlogMs())
-    if (response.destroyed) throw new Error('the caller has gone')
+    if (response.destroyed) throw new Error('the caller has aborted the request')
     await transfer(place, reply.length)
     await transfer(router, reply.length)
     await work(router, REQUEST_MS + reply.length * READ_MS_PER_BYTE)
     return JSON.parse(reply) as never
   }
   const createClient = (router: Host): HttpClient => ({
-    send: () => Promise.reject(new Error('not used here')),
+    send: () => Promise.reject(new Error('the simulation has no raw requests')),
     sendJson: ({ url, json, signal }) =>
       new Promise((resolve, reject) => {
         const response = new EventEmitter() as ServerResponse
         const abort = () => {
           response.destroyed = true
           response.emit('close')
-          reject(new ConnectionError('gave up', false, true))
+          reject(new ConnectionError('the caller aborted the request', false, true))
         }
         if (signal?.aborted) return abort()
         signal?.addEventListener('abort', abort, { once: true })
--- a/packages/control/src/__tests__/feedSource.spec.ts
+++ b/packages/control/src/__tests__/feedSource.spec.ts
@@ -12,7 +12,7 @@
 
 const TERM = 3
 
-/** A leader that learns what engines keep when `tell` is called. */
+/** A leader that learns the cache content of engines when `resolveCached` is called. */
 function createLeader() {
   let isKnown = false
   let resolveCached = () => {}
@@ -77,7 +77,7 @@
 const response = new EventEmitter() as ServerResponse
 
 describe('the feed of a new leader', () => {
-  it('gives a router its first answer only once it knows what is kept', async () => {
+  it('delays its first reply to a router until the cache content is known', async () => {
     const { source, resolveCached: tell } = createLeader()
     let kept: unknown
     const asked = source.answer(buildRequest({}), response).then((reply) => (kept = reply.kept))
@@ -88,7 +88,7 @@
     expect(kept).to.deep.equal([['e1', 1, 11, 60]])
   })
 
-  it('keeps nobody waiting that was answered before', async () => {
+  it('does not delay replies to routers that it has answered before', async () => {
     const { source } = createLeader()
     const request = buildRequest({ term: TERM, keptSeen: 5, revision: 9 })
     expect((await source.answer(request, response)).keptSeen).to.equal(0)
--- a/packages/control/src/__tests__/feedStartup.spec.ts
+++ b/packages/control/src/__tests__/feedStartup.spec.ts
@@ -1,13 +1,13 @@
 import { expect } from 'chai'
 import { createFeedSimulation, type FeedSimulationOptions } from './feedSimulation.js'
 
-/** Time after the election within which every router must have its first table, in ms. */
+/** Time from the election within which every router must receive its first table, in ms. */
 const LAST_TABLE_MS = 2_000
-/** Shorter than the least election timeout, so that the leader's heartbeats come in time, in ms. */
+/** Largest allowed backlog of the leader, in ms. Below the minimum election timeout, so that heartbeats are in time. */
 const LONGEST_LAG_MS = 400
 
 const SIZES: Readonly<Record<string, FeedSimulationOptions>> = {
-  // Two processes share the processor of a control instance here.
+  // Two processes share the processor of a control instance in this deployment.
   '24 routers on an eighth of a core': {
     routers: 24,
     engines: 21,
@@ -17,7 +17,7 @@
     routerCores: 0.12,
     routerMbps: 10,
     electedAt: 1_000,
-    // 23 lists took a leader of this size 0.31 s on the users' small deployment, by its log.
+    // According to its log, 23 snapshots took the leader of the users' small deployment 0.31 s.
     listingMs: 310,
   },
   '70 routers on a quarter of a core': {
@@ -44,9 +44,9 @@
   },
 }
 
-describe('routers that all start before a leader is elected', () => {
+describe('routers that start before a leader is elected', () => {
   for (const [name, options] of Object.entries(SIZES)) {
-    it(`${name} have the table within 2 s of the election, and all that is kept`, async () => {
+    it(`${name}: receive the table within 2 s of the election, and the full cache content`, async () => {
       const simulation = createFeedSimulation(options)
       await simulation.run(options.electedAt + LAST_TABLE_MS)
       expect(simulation.tableMs.filter((ms) => ms === undefined)).to.have.length(0)
--- a/packages/control/src/__tests__/largeEntries.spec.ts
+++ b/packages/control/src/__tests__/largeEntries.spec.ts
@@ -6,9 +6,9 @@
 
 /** Size of a routing table with many routes, in bytes. */
 const DOCUMENT_BYTES = 100_000
-/** Tables between two snapshots. */
+/** Number of tables written between two snapshots. */
 const TABLES = 40
-/** What a link of 32 Mbit/s carries in half a second. */
+/** Bytes that a link of 32 Mbit/s transfers in half a second. */
 const CARRIED_BYTES = 2_000_000
 
 describe('a member that missed many large tables', () => {
@@ -19,7 +19,7 @@
   const putTable = (leader: TestMember, version: number) =>
     group.propose(leader, { kind: 'table.put', version, document: 'x'.repeat(DOCUMENT_BYTES) })
 
-  it('gets them in messages that a link can carry in time', async () => {
+  it('receives them in messages small enough for the link to transfer in time', async () => {
     group = await createTestGroup(['a', 'b', 'c'])
     group.carriedBytes = CARRIED_BYTES
     const leader = await group.findLeader()
@@ -36,13 +36,13 @@
 })
 
 describe('a change of one route among 5,000', () => {
-  /** A hundredth of the table, 1.2 MB. */
+  /** One percent of the table, which is 1.2 MB. */
   const SMALL_BYTES = 12_000
   let group: TestGroup
 
   afterEach(() => group.close())
 
-  it('is carried in the log as what it changes', async () => {
+  it('is stored in the log as a patch', async () => {
     group = await createTestGroup(['a', 'b', 'c'])
     const { member, machine } = await group.findLeader()
     const logger = createLogger({ write: () => {} })
--- a/packages/control/src/__tests__/tableDistribution.spec.ts
+++ b/packages/control/src/__tests__/tableDistribution.spec.ts
@@ -1,19 +1,18 @@
 /**
- * What users saw: a change that added 1,400 routes was accepted, and 2.5 s later some routers still refused
- * requests on the new routes; two seconds on most of them said that they were not ready. Order of events: the
- * change, at once another one, and then no answer of the leader reached its routers for 3.5 s while it went on
- * committing small changes. Cause: the answer to each poll carried the whole table to each router, and so one
- * version after the other crowded out all else; an answer that was only long counted as a lost leader.
+ * Guards against slow distribution of large tables. Each poll reply used to carry the full table to each router, so two
+ * changes in succession saturated the leader's link: for 3.5 s no reply reached its routers, although the leader went on
+ * committing small changes, and routers took a slow reply for a lost leader. 2.5 s after a change that added 1,400
+ * routes, some routers still refused requests on the new routes; 2 s later most routers reported that they were not ready.
  */
 import { expect } from 'chai'
 import { createFeedSimulation, type FeedSimulationOptions } from './feedSimulation.js'
 
-/** A change with few routes must be in force everywhere so soon after its acceptance, in ms. */
+/** Time from acceptance within which a change of few routes must be in force on every router, in ms. */
 const SMALL_MS = 300
-/** The same of one that adds many. */
+/** Time from acceptance within which a change that adds many routes must be in force on every router, in ms. */
 const LARGE_MS = 1_000
 const SETTLED_MS = 6_000
-/** Time between two changes that follow one another closely, in ms. */
+/** Time between two changes in close succession, in ms. */
 const BETWEEN_MS = 100
 
 interface LargeTable extends FeedSimulationOptions {
@@ -59,9 +58,9 @@
   },
 }
 
-describe('routers of a fleet whose table is changed', () => {
+describe('routers after a change of the routing table', () => {
   for (const [name, options] of Object.entries(SIZES)) {
-    it(`${name}: have each change in time, and never take a long answer for a lost leader`, async () => {
+    it(`${name}: apply each change in time, and do not take a slow reply for a lost leader`, async () => {
       const simulation = createFeedSimulation(options)
       await simulation.run(options.electedAt + SETTLED_MS)
       const linesBefore = simulation.logLines.length
--- a/packages/control/src/__tests__/tableFetcher.spec.ts
+++ b/packages/control/src/__tests__/tableFetcher.spec.ts
@@ -16,7 +16,7 @@
   document: `{"v":${version}}${'{"same":1}'.repeat(50)}`,
 })
 
-/** A router that fetches tables from instances which answer as `answer` says. */
+/** A router that fetches tables from instances that reply with the result of `answer`. */
 function createRouter(
   answer: (request: TableRequest, url: string) => unknown,
   first: HeldTable | undefined,
@@ -54,7 +54,7 @@
 }
 
 describe('a router that fetches a large table', () => {
-  it('asks the next instance where one does not have it yet', async () => {
+  it('asks the next instance if one does not have the version yet', async () => {
     const newest = buildTable(8)
     const router = createRouter((_request, url) => {
       if (url.startsWith('http://c')) return buildTableUpdate(undefined, newest)
@@ -65,7 +65,7 @@
     expect(router.held()).to.deep.equal(newest)
   })
 
-  it('goes on to a version that is reported while it fetches one', async () => {
+  it('also fetches a version that is reported during a fetch', async () => {
     let newest = 8
     const router = createRouter(({ heldVersion }) => {
       const update = buildTableUpdate(buildTable(heldVersion), buildTable(newest))
@@ -78,7 +78,7 @@
     expect(router.held()?.version).to.equal(9)
   })
 
-  it('asks for the whole table once an update does not fit, and says so', async () => {
+  it('requests the full table after an update that does not apply, and logs an error', async () => {
     const router = createRouter(
       ({ heldVersion }) =>
         heldVersion === -1
@@ -93,7 +93,7 @@
     expect(router.lines.filter((line) => line.includes('table.unfit'))).to.have.length(1)
   })
 
-  it('drops an update that the feed has overtaken', async () => {
+  it('discards an update that is older than the table from the feed', async () => {
     const router = createRouter(({ heldVersion }) => {
       const update = buildTableUpdate(buildTable(heldVersion), buildTable(8))
       router.put(buildTable(9))
--- a/packages/control/src/__tests__/tableProof.spec.ts
+++ b/packages/control/src/__tests__/tableProof.spec.ts
@@ -16,7 +16,7 @@
 const POLL_MS = 100
 const table = (version: number) => ({ version, document: JSON.stringify({ version }) })
 
-/** A router that asks a leader, which answers with the newest table or reports its version. */
+/** A router that polls a leader, which sends the first table and then reports only the newest version. */
 function startFollower() {
   const timers = createManualTimerService()
   const leader = { newest: 1, isFetchable: false }
@@ -35,7 +35,7 @@
     new Promise<void>((resolve) => timers.after(ms).subscribe(() => resolve()))
   const sendJson = (async ({ url, json }: { url: string; json: FeedRequest }) => {
     if (url.endsWith(TABLE_PATH)) {
-      if (!leader.isFetchable) throw new Error('not here yet')
+      if (!leader.isFetchable) throw new Error('the table is not available yet')
       return buildTableUpdate(undefined, table(leader.newest))
     }
     await wait(POLL_MS)
@@ -74,8 +74,8 @@
   return { timers, leader, follower, run, stop }
 }
 
-describe('the proof of a router that it holds the newest table', () => {
-  it('is not renewed by a leader that reports a newer one, until that is here', async () => {
+describe('the confirmation that a router holds the newest table', () => {
+  it('is not renewed while the leader reports a newer version that is not fetched yet', async () => {
     const { leader, follower, run, stop } = startFollower()
     await run(1_000)
     expect(follower.proofAgeMs()).to.be.at.most(3 * POLL_MS)
--- a/packages/control/src/__tests__/tableWriter.spec.ts
+++ b/packages/control/src/__tests__/tableWriter.spec.ts
@@ -10,7 +10,7 @@
   document: `{"v":${version}}${'{"same":1}'.repeat(50)}`,
 })
 
-/** A leader whose log holds what `before` says when a change is proposed. */
+/** A leader; `before` may insert another table into its log ahead of each proposed one. */
 function createPuts(before: (proposed: number) => PutTable | undefined = () => undefined) {
   const table = createTableState()
   const proposed: PutUpdate[] = []
@@ -24,22 +24,22 @@
   return { table, proposed, puts: createTableWriter({ member: { propose }, table, logger }) }
 }
 
-describe('changes of the table at the leader', () => {
-  it('are put into the log one after the other, each as what it changes', async () => {
+describe('table writes at the leader', () => {
+  it('are appended to the log in sequence, each as a patch', async () => {
     const { puts, proposed, table } = createPuts()
     await Promise.all([2, 5, 6].map((version) => puts.put(buildTable(version))))
     expect(proposed.map(({ update }) => update.base)).to.deep.equal([null, 2, 5])
     expect(table.current()).to.deep.equal(buildTable(6))
   })
 
-  it('that are not above the version held are acknowledged without an entry', async () => {
+  it('that are not newer than the current version are acknowledged without a log entry', async () => {
     const { puts, proposed } = createPuts()
     const results = await Promise.all([6, 5, 6].map((version) => puts.put(buildTable(version))))
     expect(results.map(({ version }) => version)).to.deep.equal([6, 6, 6])
     expect(proposed).to.have.length(1)
   })
 
-  it('are put whole when an entry of an earlier leader came between', async () => {
+  it('contain the full table when an entry of an earlier leader was applied in between', async () => {
     const between: PutUpdate = {
       kind: 'table.put',
       version: 4,
@@ -52,7 +52,7 @@
     expect(table.current()).to.deep.equal(buildTable(7))
   })
 
-  it('go on after one whose outcome is not known', async () => {
+  it('continue after one whose outcome is unknown', async () => {
     const table = createTableState()
     let isLost = true
     const propose = async (command: unknown) => {
@@ -68,7 +68,7 @@
 })
 
 describe('the table in a snapshot', () => {
-  it('is packed, and read as versions before wrote it too', () => {
+  it('is compressed, and earlier formats are still readable', () => {
     const state = createTableState()
     state.put({ kind: 'table.put', ...buildTable(3) })
     const saved = JSON.parse(JSON.stringify(state.save())) as never
