--- a/packages/control/src/__tests__/cacheWatch.spec.ts
+++ b/packages/control/src/__tests__/cacheWatch.spec.ts
@@ -140,16 +140,16 @@
     const machine = createControlMachine()
     machine.apply({ kind: 'server.observe', server }, 1)
     const reported: CachedPlacement[] = []
-    const asked: number[] = []
-    let lists = 0
+    const askedAfter: number[] = []
+    let snapshots = 0
     const calls: CacheClient = {
       waitForChanges: async (_address, after) => {
-        asked.push(after)
-        return news(asked.length, after)
+        askedAfter.push(after)
+        return news(askedAfter.length, after)
       },
       fetchSnapshot: async () => {
-        lists += 1
-        return { epoch: 1, next: 5, parts: list(lists) }
+        snapshots += 1
+        return { epoch: 1, next: 5, parts: list(snapshots) }
       },
     }
     const watch = createWatch({ calls, machine, timers, reported })
@@ -160,7 +160,7 @@
     await settle()
     void watch.close()
     timers.advance(10_000)
-    return { reported, asked, lists }
+    return { reported, asked: askedAfter, lists: snapshots }
   }
 
   it('starts with a snapshot, and continues after the last reported change', async () => {
--- a/packages/control/src/__tests__/feedSimulation.ts
+++ b/packages/control/src/__tests__/feedSimulation.ts
@@ -119,13 +119,13 @@
 /** An accepted table version, with the time each router took to receive it. */
 interface AcceptedTable {
   readonly acceptedAt: number
-  readonly ages: (number | undefined)[]
+  readonly propagationMs: (number | undefined)[]
 }
 
 interface Host {
   readonly processor: Resource
   /** Number of tasks done so far. */
-  workDone: number
+  tasksDone: number
   readonly link: Resource
   readonly cores: number
   readonly mbps: number
@@ -168,18 +168,18 @@
 }
 
 function createDirectory({ engines, partsPerEngine }: FeedSimulationOptions) {
-  const kept = createCacheDirectory()
+  const directory = createCacheDirectory()
   const scope = formatCacheScope(undefined, 4)
   for (let index = 0; index < engines; index += 1) {
-    const place = { kind: 'engine', id: `i-${1e9 + index}`, address: 'a' } as const
+    const location = { kind: 'engine', id: `i-${1e9 + index}`, address: 'a' } as const
     const parts = Array.from({ length: partsPerEngine }, (_, part) => ({
       scope,
       id: `${index}/${part}`,
       tokens: 1_000 + part,
     }))
-    kept.apply(place, parts)
+    directory.apply(location, parts)
   }
-  return kept
+  return directory
 }
 
 /** Starts a simulation whose routers use the first three control instances as seeds. */
@@ -222,7 +222,7 @@
     timers,
     stopping: NEVER,
   })
-  const createSource = (url: string, place: Host): FeedSource =>
+  const createSource = (url: string, host: Host): FeedSource =>
     createFeedSource({
       member: createMember(url),
       quarantine: createQuarantineCoordinator({
@@ -240,53 +240,58 @@
       cacheDirectory: directory,
       waitForCacheDirectory: async () => {},
       stopping: NEVER,
-      turns: createTurns(place),
+      turns: createTurns(host),
     })
   const createHost = (cores: number, mbps: number): Host => ({
     processor: createResource(timers),
-    workDone: 0,
+    tasksDone: 0,
     link: createResource(timers),
     cores,
     mbps,
   })
   const instances = new Map(
     urls.map((url) => {
-      const place = createHost(options.controlCores, options.controlMbps)
-      return [url, { source: createSource(url, place), place }]
+      const host = createHost(options.controlCores, options.controlMbps)
+      return [url, { source: createSource(url, host), host: host }]
     }),
   )
-  const work = (place: Host, ms: number) => {
-    const factor = WARM_UP_FACTORS[place.workDone] ?? 1
-    place.workDone += 1
-    return place.processor.use((ms * factor) / place.cores)
+  const runTask = (host: Host, ms: number) => {
+    const factor = WARM_UP_FACTORS[host.tasksDone] ?? 1
+    host.tasksDone += 1
+    return host.processor.use((ms * factor) / host.cores)
   }
-  const transfer = (place: Host, bytes: number) =>
-    place.link.use((bytes * BITS_PER_BYTE) / (place.mbps * BITS_PER_MS_AND_MBPS))
+  const transfer = (host: Host, bytes: number) =>
+    host.link.use((bytes * BITS_PER_BYTE) / (host.mbps * BITS_PER_MS_AND_MBPS))
 
-  const answerAt = (source: FeedSource, path: string, asked: string, response: ServerResponse) =>
+  const answerAt = (
+    source: FeedSource,
+    path: string,
+    requestText: string,
+    response: ServerResponse,
+  ) =>
     path === TABLE_PATH
-      ? tableSource.answer(JSON.parse(asked) as TableRequest, response)
-      : source.answer(JSON.parse(asked) as FeedRequest, response)
+      ? tableSource.answer(JSON.parse(requestText) as TableRequest, response)
+      : source.answer(JSON.parse(requestText) as FeedRequest, response)
   const sendOver = async (
     router: Host,
     { origin: url, pathname }: URL,
     json: unknown,
     response: ServerResponse,
   ) => {
-    const { source, place } = instances.get(url) as { source: FeedSource; place: Host }
-    const asked = JSON.stringify(json)
-    await transfer(router, asked.length)
+    const { source, host: host } = instances.get(url) as { source: FeedSource; host: Host }
+    const requestText = JSON.stringify(json)
+    await transfer(router, requestText.length)
     await new Promise<void>((resolve) => timers.after(NETWORK_DELAY_MS).subscribe(() => resolve()))
-    await work(place, REQUEST_MS + asked.length * READ_MS_PER_BYTE)
+    await runTask(host, REQUEST_MS + requestText.length * READ_MS_PER_BYTE)
     if (url === leaderUrl) leaderRequests += 1
-    const reply = JSON.stringify(await answerAt(source, pathname, asked, response))
+    const reply = JSON.stringify(await answerAt(source, pathname, requestText, response))
     // The reply is built even if the caller has aborted, but not sent.
-    await work(place, REQUEST_MS + reply.length * WRITE_MS_PER_BYTE)
-    if (url === leaderUrl) longestLagMs = Math.max(longestLagMs, place.processor.backlogMs())
+    await runTask(host, REQUEST_MS + reply.length * WRITE_MS_PER_BYTE)
+    if (url === leaderUrl) longestLagMs = Math.max(longestLagMs, host.processor.backlogMs())
     if (response.destroyed) throw new Error('the caller has aborted the request')
-    await transfer(place, reply.length)
+    await transfer(host, reply.length)
     await transfer(router, reply.length)
-    await work(router, REQUEST_MS + reply.length * READ_MS_PER_BYTE)
+    await runTask(router, REQUEST_MS + reply.length * READ_MS_PER_BYTE)
     return JSON.parse(reply) as never
   }
   const createClient = (router: Host): HttpClient => ({
@@ -307,19 +312,19 @@
   })
 
   timers.after(options.electedAt).subscribe(() => {
-    void instances.get(leaderUrl)?.place.processor.use(options.listingMs)
+    void instances.get(leaderUrl)?.host.processor.use(options.listingMs)
   })
   const tableMs: (number | undefined)[] = []
   const accepted = new Map<number, AcceptedTable>()
   const cachedParts: number[] = []
   const followers = Array.from({ length: options.routers }, (_, index) => {
-    const place = createHost(options.routerCores, options.routerMbps)
+    const host = createHost(options.routerCores, options.routerMbps)
     cachedParts.push(0)
     tableMs.push(undefined)
     const follower = createFeedClient({
       router: `router-${index}`,
       seeds: () => urls.slice(0, 3),
-      client: createClient(place),
+      client: createClient(host),
       timers,
       random: createRandomSource(index + 1),
       logger: createLogger({ write: (line) => void lines.push(line) }),
@@ -341,8 +346,8 @@
     })
     follower.changes.subscribe(({ index: { table } }) => {
       tableMs[index] ??= timers.now() - options.electedAt
-      for (const [version, { acceptedAt, ages }] of accepted) {
-        if (table.version >= version) ages[index] ??= timers.now() - acceptedAt
+      for (const [version, { acceptedAt, propagationMs: propagationMs }] of accepted) {
+        if (table.version >= version) propagationMs[index] ??= timers.now() - acceptedAt
       }
     })
     return follower
@@ -367,14 +372,14 @@
     longestLagMs: () => longestLagMs,
     countLeaderRequests: () => leaderRequests,
     putTable: (version, routes) => {
-      const ages = followers.map(() => undefined)
-      accepted.set(version, { acceptedAt: timers.now(), ages })
+      const propagationMs = followers.map(() => undefined)
+      accepted.set(version, { acceptedAt: timers.now(), propagationMs: propagationMs })
       machine.apply(
         { kind: 'table.put', version, document: buildDocument(version, routes) },
         version,
       )
     },
-    listPropagationMs: (version) => accepted.get(version)?.ages ?? [],
+    listPropagationMs: (version) => accepted.get(version)?.propagationMs ?? [],
     run,
     close: async () => {
       const closed = Promise.all(followers.map((follower) => follower.close()))
--- a/packages/control/src/__tests__/feedSource.spec.ts
+++ b/packages/control/src/__tests__/feedSource.spec.ts
@@ -16,7 +16,7 @@
 function createLeader() {
   let isKnown = false
   let resolveCached = () => {}
-  const known = new Promise<void>((resolve) => {
+  const cached = new Promise<void>((resolve) => {
     resolveCached = () => {
       isKnown = true
       resolve()
@@ -50,7 +50,7 @@
         cursor: { after: '', left: 0 },
       }),
     },
-    waitForCacheDirectory: () => known,
+    waitForCacheDirectory: () => cached,
     stopping: NEVER,
   })
   return { source, resolveCached: resolveCached }
--- a/packages/control/src/__tests__/tableFetcher.spec.ts
+++ b/packages/control/src/__tests__/tableFetcher.spec.ts
@@ -30,7 +30,7 @@
     asked.push(json)
     return answer(json, url)
   }) as HttpClient['sendJson']
-  const fetch = createTableFetcher({
+  const fetcher = createTableFetcher({
     listInstances: () => ['http://a', 'http://b', 'http://c'],
     client: { sendJson } as HttpClient,
     timers,
@@ -50,7 +50,14 @@
       for (let turn = 0; turn < 4; turn += 1) await new Promise((resolve) => setImmediate(resolve))
     }
   }
-  return { fetch, run, asked, lines, held: () => held, put: (next: HeldTable) => (held = next) }
+  return {
+    fetcher: fetcher,
+    run,
+    asked,
+    lines,
+    held: () => held,
+    put: (next: HeldTable) => (held = next),
+  }
 }
 
 describe('a router that fetches a large table', () => {
@@ -60,7 +67,7 @@
       if (url.startsWith('http://c')) return buildTableUpdate(undefined, newest)
       throw new SpoolgateError('controlUnavailable', 'no newer table here yet')
     }, buildTable(7))
-    router.fetch.requestVersion(8)
+    router.fetcher.requestVersion(8)
     await router.run(500)
     expect(router.held()).to.deep.equal(newest)
   })
@@ -69,11 +76,11 @@
     let newest = 8
     const router = createRouter(({ heldVersion }) => {
       const update = buildTableUpdate(buildTable(heldVersion), buildTable(newest))
-      if (newest === 8) queueMicrotask(() => router.fetch.requestVersion(9))
+      if (newest === 8) queueMicrotask(() => router.fetcher.requestVersion(9))
       newest = 9
       return update
     }, buildTable(7))
-    router.fetch.requestVersion(8)
+    router.fetcher.requestVersion(8)
     await router.run(500)
     expect(router.held()?.version).to.equal(9)
   })
@@ -86,7 +93,7 @@
           : { ...buildTableUpdate(buildTable(7), buildTable(8)), digest: 'wrong' },
       buildTable(7),
     )
-    router.fetch.requestVersion(8)
+    router.fetcher.requestVersion(8)
     await router.run(2_000)
     expect(router.held()?.version).to.equal(8)
     expect(router.asked.map(({ heldVersion }) => heldVersion)).to.deep.equal([7, -1])
@@ -99,7 +106,7 @@
       router.put(buildTable(9))
       return update
     }, buildTable(7))
-    router.fetch.requestVersion(8)
+    router.fetcher.requestVersion(8)
     await router.run(500)
     expect(router.held()?.version).to.equal(9)
     expect(router.lines).to.have.length(0)
--- a/packages/control/src/__tests__/tableWriter.spec.ts
+++ b/packages/control/src/__tests__/tableWriter.spec.ts
@@ -11,7 +11,7 @@
 })
 
 /** A leader; `before` may insert another table into its log ahead of each proposed one. */
-function createPuts(before: (proposed: number) => PutTable | undefined = () => undefined) {
+function createWriter(before: (proposed: number) => PutTable | undefined = () => undefined) {
   const table = createTableState()
   const proposed: PutUpdate[] = []
   const propose = async (command: unknown) => {
@@ -26,14 +26,14 @@
 
 describe('table writes at the leader', () => {
   it('are appended to the log in sequence, each as a patch', async () => {
-    const { puts, proposed, table } = createPuts()
+    const { puts, proposed, table } = createWriter()
     await Promise.all([2, 5, 6].map((version) => puts.put(buildTable(version))))
     expect(proposed.map(({ update }) => update.base)).to.deep.equal([null, 2, 5])
     expect(table.current()).to.deep.equal(buildTable(6))
   })
 
   it('that are not newer than the current version are acknowledged without a log entry', async () => {
-    const { puts, proposed } = createPuts()
+    const { puts, proposed } = createWriter()
     const results = await Promise.all([6, 5, 6].map((version) => puts.put(buildTable(version))))
     expect(results.map(({ version }) => version)).to.deep.equal([6, 6, 6])
     expect(proposed).to.have.length(1)
@@ -45,7 +45,7 @@
       version: 4,
       update: buildTableUpdate(undefined, buildTable(4)),
     }
-    const { puts, proposed, table } = createPuts((count) => (count === 1 ? between : undefined))
+    const { puts, proposed, table } = createWriter((count) => (count === 1 ? between : undefined))
     await puts.put(buildTable(2))
     expect(await puts.put(buildTable(7))).to.include({ isNewer: true, version: 7 })
     expect(proposed.map(({ update }) => update.base)).to.deep.equal([null, 2, null])
--- a/packages/control/src/registry/cacheWatch.ts
+++ b/packages/control/src/registry/cacheWatch.ts
@@ -134,7 +134,7 @@
   const directory = createCacheDirectory()
   const settleTimers = new Subscription()
   const snapshotQueue = new Subject<() => Promise<void>>()
-  snapshotQueue.pipe(mergeMap((list) => list(), MAX_CONCURRENT_SNAPSHOTS)).subscribe()
+  snapshotQueue.pipe(mergeMap((task) => task(), MAX_CONCURRENT_SNAPSHOTS)).subscribe()
 
   const listStores = (): WatchedCache[] =>
     (options.table.current()?.stores ?? []).map(({ address }) => ({
@@ -163,10 +163,10 @@
     engine === undefined
       ? { kind: 'store', address, epoch }
       : { kind: 'engine', id: engine, address }
-  const applyEvents = (cache: WatchedCache, news: CacheEvents) => {
-    if (cache.engine === undefined) recordStoreEpoch(cache.address, news.epoch)
-    const at = toCacheLocation(cache, news.epoch)
-    options.onCacheChanges(directory.apply(at, news.changes))
+  const applyEvents = (cache: WatchedCache, events: CacheEvents) => {
+    if (cache.engine === undefined) recordStoreEpoch(cache.address, events.epoch)
+    const at = toCacheLocation(cache, events.epoch)
+    options.onCacheChanges(directory.apply(at, events.changes))
   }
   /**
    * Replaces the content of a cache with a snapshot. A new leader starts with it: replaying the thousands of events
@@ -184,13 +184,13 @@
       snapshotQueue.next(() => client.fetchSnapshot(address, stopping.signal).then(resolve, reject))
     })
   const followEvents = async (cache: WatchedCache, { epoch, after }: Position) => {
-    const news = await client.waitForChanges(cache.address, after, stopping.signal)
+    const events = await client.waitForChanges(cache.address, after, stopping.signal)
     if (!isWatching(cache)) return { epoch, after }
     // Sequence numbers restart with each epoch.
-    if (news.epoch !== epoch) return { epoch: news.epoch, after: 0 }
-    if (news.hasGap) return applySnapshot(cache, 'events lost')
-    applyEvents(cache, news)
-    return { epoch, after: news.next }
+    if (events.epoch !== epoch) return { epoch: events.epoch, after: 0 }
+    if (events.hasGap) return applySnapshot(cache, 'events lost')
+    applyEvents(cache, events)
+    return { epoch, after: events.next }
   }
   const recordUnreachable = (cache: WatchedCache, cause: unknown) => {
     const { key, address, engine } = cache
@@ -226,13 +226,13 @@
     else directory.forget({ kind: 'engine', id: cache.engine, address: cache.address })
   }
   const refreshWatches = () => {
-    const places = new Map(listCaches().map((cache) => [cache.key, cache]))
+    const caches = new Map(listCaches().map((cache) => [cache.key, cache]))
     for (const key of watched.keys()) {
-      if (places.has(key)) continue
+      if (caches.has(key)) continue
       watched.delete(key)
       settled.delete(key)
     }
-    for (const [key, cache] of places) {
+    for (const [key, cache] of caches) {
       if (watched.has(key)) continue
       watched.set(key, cache)
       settleTimers.add(timers.after(FIRST_ANSWERS_TIMEOUT_MS).subscribe(() => settleCache(cache)))
--- a/packages/control/src/registry/feedClient.ts
+++ b/packages/control/src/registry/feedClient.ts
@@ -120,7 +120,7 @@
 }
 
 /** Confirmation by the leader that a table version was the newest. */
-interface TableProof {
+interface TableConfirmation {
   readonly version: number
   /** When the poll was sent, in ms of the clock that includes suspension (`promiseNow`). */
   readonly askedAt: number
@@ -133,9 +133,9 @@
   const changes = new Subject<FleetView>()
   const replica = createFleetReplica(options)
   let unreportedPlacements: readonly Placement[] = []
-  let provenAt = -Infinity
+  let confirmedAt = -Infinity
   /** Confirmation of the version that is being fetched; takes effect once the router holds it. */
-  let pendingProof: TableProof | undefined
+  let pendingConfirmation: TableConfirmation | undefined
   /** URL of the instance that answered last. */
   let leader: string | undefined
 
@@ -176,16 +176,16 @@
     const view = replica.view()
     if (view) changes.next(view)
   }
-  const recordProof = (proof: TableProof) => {
-    if (replica.position().tableVersion < proof.version) {
-      pendingProof = proof
+  const applyConfirmation = (confirmation: TableConfirmation) => {
+    if (replica.position().tableVersion < confirmation.version) {
+      pendingConfirmation = confirmation
       return
     }
     // A delayed reply may arrive after the reply to a later poll.
-    provenAt = Math.max(provenAt, proof.askedAt)
+    confirmedAt = Math.max(confirmedAt, confirmation.askedAt)
   }
   const listInstances = () => [...new Set([...replica.listControl(), ...options.seeds()])]
-  const tables = createTableFetcher({
+  const tableFetcher = createTableFetcher({
     listInstances,
     client,
     timers,
@@ -194,7 +194,7 @@
     heldVersion: () => replica.position().tableVersion,
     onUpdate: (update) => {
       if (!replica.applyTable(update)) return false
-      if (pendingProof) recordProof(pendingProof)
+      if (pendingConfirmation) applyConfirmation(pendingConfirmation)
       emitView()
       return true
     },
@@ -211,8 +211,8 @@
     if (reply.suspects) options.onSuspects(reply.suspects)
     if (reply.trial !== undefined) options.onTrial(reply.trial)
     unreportedPlacements = unreportedPlacements.filter((placement) => !reported.has(placement))
-    recordProof({ version: reply.tableVersion, askedAt })
-    tables.requestVersion(reply.tableVersion)
+    applyConfirmation({ version: reply.tableVersion, askedAt })
+    tableFetcher.requestVersion(reply.tableVersion)
     if (isChanged) emitView()
   }
   const search = createInstanceSearch({
@@ -224,7 +224,7 @@
     searchEvent: 'control.searching',
     listState: () => ({
       tableVersion: replica.view()?.index.table.version,
-      proofAgeMs: Math.round(timers.promiseNow() - provenAt),
+      proofAgeMs: Math.round(timers.promiseNow() - confirmedAt),
       term: replica.position().term,
     }),
     stopping: stopping.signal,
@@ -232,7 +232,7 @@
   const pollLeader = async (url: string) => {
     const answered = await search.askFirst(url, findWaitMs(url) + ANSWER_TIMEOUT_MS)
     if (answered || stopping.signal.aborted) return answered
-    const proofAgeMs = Math.round(timers.promiseNow() - provenAt)
+    const proofAgeMs = Math.round(timers.promiseNow() - confirmedAt)
     logger.warn('control.lost', { url, term: replica.position().term, proofAgeMs })
     leader = undefined
     return undefined
@@ -262,13 +262,13 @@
   return {
     current: replica.view,
     // Counts suspension: the table may have been replaced while this machine was suspended.
-    proofAgeMs: () => timers.promiseNow() - provenAt,
+    proofAgeMs: () => timers.promiseNow() - confirmedAt,
     leaderUrl: () => leader,
     changes,
     close: async () => {
       stopping.abort()
       await running
-      await tables.close()
+      await tableFetcher.close()
       changes.complete()
     },
   }
--- a/packages/control/src/registry/feedSource.ts
+++ b/packages/control/src/registry/feedSource.ts
@@ -154,8 +154,17 @@
     return role === 'leader' ? member.isCurrent() : leader !== undefined
   }
   const leaderKnown = timers.every(LEADER_CHECK_PERIOD_MS).pipe(filter(isLeaderKnown), share())
-  const waitUntil = async (news: Observable<unknown>, waitMs: number, response: ServerResponse) => {
-    const isOver = race(news, timers.after(waitMs), fromEvent(response, 'close'), options.stopping)
+  const waitUntil = async (
+    update: Observable<unknown>,
+    waitMs: number,
+    response: ServerResponse,
+  ) => {
+    const isOver = race(
+      update,
+      timers.after(waitMs),
+      fromEvent(response, 'close'),
+      options.stopping,
+    )
     await firstValueFrom(isOver, { defaultValue: undefined })
   }
 
