--- a/packages/router/src/__tests__/backoffSimulation.ts
+++ b/packages/router/src/__tests__/backoffSimulation.ts
@@ -4,10 +4,10 @@
  */
 import { createLoadSum, type FleetView, type RegisteredServer } from '@spoolgate/control'
 import { createManualTimerService, createRandomSource, type BackendServerId } from '@spoolgate/core'
-import { addBackoffs } from '../direct/answerSignals.js'
-import { rankServers, type Candidate } from '../direct/choice.js'
-import { createRetryShare, type RetryShare } from '../direct/retryShare.js'
-import { buildView, createChoiceParts, createEngineServer, GROUP } from './choiceFixtures.js'
+import { addBackoffs } from '../direct/responseSignals.js'
+import { rankServers, type Candidate } from '../direct/serverRanking.js'
+import { createRetryShare, type RetryShare } from '../direct/retryBudget.js'
+import { buildView, createChoiceParts, createEngineServer, GROUP } from './rankingFixtures.js'
 
 /** What is shown. */
 export interface BackoffSimulationOptions {
--- a/packages/router/src/__tests__/directParts.spec.ts
+++ b/packages/router/src/__tests__/directComponents.spec.ts
@@ -3,10 +3,10 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
 import { createEventCutter } from '../direct/eventCutter.js'
-import { buildPlacement, createPartMemory } from '../direct/partMemory.js'
-import { createRetryShare } from '../direct/retryShare.js'
-import { createLiveness } from '../direct/liveness.js'
-import { createServerBoard } from '../direct/serverBoard.js'
+import { buildPlacement, createPartMemory } from '../direct/prefixCacheIndex.js'
+import { createRetryShare } from '../direct/retryBudget.js'
+import { createLiveness } from '../direct/livenessMonitor.js'
+import { createServerBoard } from '../direct/serverStats.js'
 
 const S1 = toBackendServerId('s1')
 const PARTS = [
--- a/packages/router/src/__tests__/limitSimulation.ts
+++ b/packages/router/src/__tests__/limitSimulation.ts
@@ -9,9 +9,9 @@
   type RegisteredServer,
 } from '@spoolgate/control'
 import { createManualTimerService, createRandomSource, type BackendServerId } from '@spoolgate/core'
-import { rankServers } from '../direct/choice.js'
+import { rankServers } from '../direct/serverRanking.js'
 import { createServerLimits } from '../limits/serverLimits.js'
-import { buildView, createChoiceParts, createEngineServer, GROUP } from './choiceFixtures.js'
+import { buildView, createChoiceParts, createEngineServer, GROUP } from './rankingFixtures.js'
 
 /** A change of what servers name. */
 export interface LimitChange {
--- a/packages/router/src/__tests__/sources.spec.ts
+++ b/packages/router/src/__tests__/prefixLocations.spec.ts
@@ -7,9 +7,9 @@
 import { createManualTimerService, toBackendServerId, toServerName } from '@spoolgate/core'
 import { formatCacheScope, formatStoreId } from '@spoolgate/routing'
 import { expect } from 'chai'
-import { buildPlacement, createPartMemory } from '../direct/partMemory.js'
-import { createServerBoard } from '../direct/serverBoard.js'
-import { findPlaces } from '../direct/sources.js'
+import { buildPlacement, createPartMemory } from '../direct/prefixCacheIndex.js'
+import { createServerBoard } from '../direct/serverStats.js'
+import { findPlaces } from '../direct/prefixLocations.js'
 
 const STORE = { address: 's:1', epoch: 5 }
 const STORES = ['s:1', 's:2', 's:3'].map((address) => ({ address, epoch: 5 }))
--- a/packages/router/src/__tests__/choiceFixtures.ts
+++ b/packages/router/src/__tests__/rankingFixtures.ts
@@ -7,10 +7,10 @@
 } from '@spoolgate/control'
 import { createRandomSource, toServerName, type TimerService } from '@spoolgate/core'
 import { createBackpressure, type ServerGroup } from '@spoolgate/routing'
-import { createPartMemory } from '../direct/partMemory.js'
-import { createServerBoard } from '../direct/serverBoard.js'
-import { createWorkSplit } from '../direct/workSplit.js'
-import { createWorkTimes } from '../direct/workTimes.js'
+import { createPartMemory } from '../direct/prefixCacheIndex.js'
+import { createServerBoard } from '../direct/serverStats.js'
+import { createWorkSplit } from '../direct/enginePartition.js'
+import { createWorkTimes } from '../direct/serviceTimes.js'
 import { createServerLimits } from '../limits/serverLimits.js'
 
 /** The group of all servers here. */
--- a/packages/router/src/__tests__/requestFingerprint.spec.ts
+++ b/packages/router/src/__tests__/requestFingerprint.spec.ts
@@ -1,7 +1,7 @@
 import { toTeamId } from '@spoolgate/core'
 import type { TeamEntry } from '@spoolgate/routing'
 import { expect } from 'chai'
-import type { DirectCall } from '../direct/dialects.js'
+import type { DirectCall } from '../direct/protocols.js'
 import { hashRequest } from '../direct/requestFingerprint.js'
 
 const CALL: DirectCall = {
--- a/packages/router/src/__tests__/choice.spec.ts
+++ b/packages/router/src/__tests__/serverRanking.spec.ts
@@ -2,8 +2,8 @@
 import { createManualTimerService } from '@spoolgate/core'
 import { formatCacheScope } from '@spoolgate/routing'
 import { expect } from 'chai'
-import { rankServers } from '../direct/choice.js'
-import { buildView, createChoiceParts, createEngineServer, GROUP } from './choiceFixtures.js'
+import { rankServers } from '../direct/serverRanking.js'
+import { buildView, createChoiceParts, createEngineServer, GROUP } from './rankingFixtures.js'
 
 const REST_MS = 3_000
 const PROMPT = {
--- a/packages/router/src/__tests__/workTimes.spec.ts
+++ b/packages/router/src/__tests__/serviceTimes.spec.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai'
-import { createWorkTimes } from '../direct/workTimes.js'
+import { createWorkTimes } from '../direct/serviceTimes.js'
 
 describe('the times of work', () => {
   it('start somewhere, and follow what is seen of each group', () => {
--- a/packages/router/src/direct/answerHead.ts
+++ b/packages/router/src/direct/answerHead.ts
@@ -1,9 +1,9 @@
 /** What the head of an answer says of a send, before anything of it is passed on. */
 import type { IncomingMessage } from 'node:http'
-import { recordAnswerSignals } from './answerSignals.js'
+import { recordAnswerSignals } from './responseSignals.js'
 import type { CallPlan } from './callPlan.js'
-import type { Candidate } from './choice.js'
-import type { DirectParts } from './directParts.js'
+import type { Candidate } from './serverRanking.js'
+import type { DirectParts } from './directContext.js'
 import type { SendEnd } from './sendEnd.js'
 
 /** A head with the instant at which its request was sent, in ms of the monotonic clock. */
--- a/packages/router/src/direct/answerRelay.ts
+++ b/packages/router/src/direct/answerRelay.ts
@@ -3,7 +3,7 @@
  * broken one can still become a repeated send or a plain failure; events of a stream go on at once.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
-import type { HeaderList } from './dialects.js'
+import type { HeaderList } from './protocols.js'
 import { createEventCutter, type EventCutter } from './eventCutter.js'
 
 /** How reading an answer's body ended. */
--- a/packages/router/src/direct/answerTimes.ts
+++ b/packages/router/src/direct/answerTimes.ts
@@ -1,6 +1,6 @@
 /** The times of one request: when its first part came, and how long the server of its last send took. */
 import type { CallPlan } from './callPlan.js'
-import type { DirectParts } from './directParts.js'
+import type { DirectParts } from './directContext.js'
 
 /** See {@link createAnswerTimes}. */
 export interface AnswerTimes {
--- a/packages/router/src/direct/callPlan.ts
+++ b/packages/router/src/direct/callPlan.ts
@@ -8,8 +8,8 @@
   type ServerGroup,
   type TeamEntry,
 } from '@spoolgate/routing'
-import type { DirectCall } from './dialects.js'
-import type { DirectParts } from './directParts.js'
+import type { DirectCall } from './protocols.js'
+import type { DirectParts } from './directContext.js'
 
 /** A request that may be served. */
 export interface CallPlan {
--- a/packages/router/src/direct/directParts.ts
+++ b/packages/router/src/direct/directContext.ts
@@ -11,19 +11,19 @@
   TurnQueue,
 } from '@spoolgate/core'
 import type { Backpressure } from '@spoolgate/routing'
-import type { BackendDialect, CallerDialect } from './dialects.js'
+import type { BackendDialect, CallerDialect } from './protocols.js'
 import type { QuotaAdmission } from '../limits/quotaAdmission.js'
 import type { ServerLimits } from '../limits/serverLimits.js'
-import type { Liveness } from './liveness.js'
-import type { PartMemory } from './partMemory.js'
+import type { Liveness } from './livenessMonitor.js'
+import type { PartMemory } from './prefixCacheIndex.js'
 import type { PlannedStop } from './plannedStop.js'
-import type { RetryShare } from './retryShare.js'
+import type { RetryShare } from './retryBudget.js'
 import type { RequestQuarantine } from './requestQuarantine.js'
 import type { ServerExits } from './serverExits.js'
 import type { ServerRestarts } from './serverRestarts.js'
-import type { ServerBoard } from './serverBoard.js'
-import type { WorkSplit } from './workSplit.js'
-import type { WorkTimes } from './workTimes.js'
+import type { ServerBoard } from './serverStats.js'
+import type { WorkSplit } from './enginePartition.js'
+import type { WorkTimes } from './serviceTimes.js'
 
 /** Instruments of a direct router. */
 export interface DirectInstruments {
--- a/packages/router/src/direct/headWait.ts
+++ b/packages/router/src/direct/headWait.ts
@@ -6,7 +6,7 @@
  */
 import type { KeepAliveAgent, TimerService } from '@spoolgate/core'
 import { firstValueFrom } from 'rxjs'
-import type { Liveness, ProbedServer } from './liveness.js'
+import type { Liveness, ProbedServer } from './livenessMonitor.js'
 import type { Abandoned } from './sendEnd.js'
 import type { Send, SendResult } from './sendOnce.js'
 
--- a/packages/router/src/direct/plannedStop.ts
+++ b/packages/router/src/direct/plannedStop.ts
@@ -13,7 +13,7 @@
   type TimerService,
 } from '@spoolgate/core'
 import type { CallPlan } from './callPlan.js'
-import type { DirectCall } from './dialects.js'
+import type { DirectCall } from './protocols.js'
 
 /** One request from its arrival until its connection has taken the answer, or has ended. */
 export interface CallInProgress {
--- a/packages/router/src/direct/partMemory.ts
+++ b/packages/router/src/direct/prefixCacheIndex.ts
@@ -6,7 +6,7 @@
 import { toBackendServerId, type BackendServerId } from '@spoolgate/core'
 import { hashPart } from '@spoolgate/routing'
 import { LRUCache } from 'lru-cache'
-import type { PromptPart } from './dialects.js'
+import type { PromptPart } from './protocols.js'
 
 /** Caches of all engines and stores. */
 export interface PartMemory {
--- a/packages/router/src/direct/sources.ts
+++ b/packages/router/src/direct/prefixLocations.ts
@@ -5,10 +5,10 @@
 import type { FleetView, RegisteredServer, StoreLife } from '@spoolgate/control'
 import { toBackendServerId, type BackendServerId } from '@spoolgate/core'
 import { formatStoreId, hashText, type EngineFacts } from '@spoolgate/routing'
-import type { PromptFacts, PromptPart } from './dialects.js'
-import { BLOCK_TOKENS, type PartMemory } from './partMemory.js'
-import type { ServerBoard } from './serverBoard.js'
-import { LONG_PROMPT_TOKENS } from './workSplit.js'
+import type { PromptFacts, PromptPart } from './protocols.js'
+import { BLOCK_TOKENS, type PartMemory } from './prefixCacheIndex.js'
+import type { ServerBoard } from './serverStats.js'
+import { LONG_PROMPT_TOKENS } from './enginePartition.js'
 
 /** An engine or store that keeps shared parts of a prompt. */
 interface Source {
--- a/packages/router/src/direct/quotaRefusal.ts
+++ b/packages/router/src/direct/quotaRefusal.ts
@@ -2,8 +2,8 @@
 import { SpoolgateError } from '@spoolgate/core'
 import type { TeamQuota } from '@spoolgate/routing'
 import type { CallPlan } from './callPlan.js'
-import type { DirectCall } from './dialects.js'
-import type { DirectParts } from './directParts.js'
+import type { DirectCall } from './protocols.js'
+import type { DirectParts } from './directContext.js'
 import { drawReturnSeconds } from './refusals.js'
 
 /** A refusal with the figures that decided it. */
--- a/packages/router/src/direct/answerSignals.ts
+++ b/packages/router/src/direct/responseSignals.ts
@@ -2,8 +2,8 @@
 import { MAX_BACKOFF_MS } from '@spoolgate/routing'
 import type { RegisteredServer, ServerLoad, ServerLoads } from '@spoolgate/control'
 import type { BackendServerId } from '@spoolgate/core'
-import type { AnswerHead, DirectCall, LimitSignal, BackoffSignal } from './dialects.js'
-import type { DirectParts } from './directParts.js'
+import type { AnswerHead, DirectCall, LimitSignal, BackoffSignal } from './protocols.js'
+import type { DirectParts } from './directContext.js'
 
 type SignalParts = Pick<
   DirectParts,
--- a/packages/router/src/direct/sendAdmission.ts
+++ b/packages/router/src/direct/sendAdmission.ts
@@ -1,11 +1,11 @@
 /** Admission of one send of a request: by the limit of its team, by the quarantine, and by what servers can take. */
 import type { RequestFingerprint, SpoolgateError } from '@spoolgate/core'
 import type { CallPlan } from './callPlan.js'
-import type { Candidate } from './choice.js'
-import type { DirectParts } from './directParts.js'
+import type { Candidate } from './serverRanking.js'
+import type { DirectParts } from './directContext.js'
 import { admitQuota } from './quotaRefusal.js'
 import { createQuarantineError, createRefusal } from './refusals.js'
-import { chooseSend, type SendsSoFar } from './sendChoice.js'
+import { chooseSend, type SendsSoFar } from './serverSelection.js'
 
 /** What has become of a request so far. */
 export interface RequestState extends SendsSoFar {
--- a/packages/router/src/direct/sendEnd.ts
+++ b/packages/router/src/direct/sendEnd.ts
@@ -1,8 +1,8 @@
 /** How one send to a backend server ends, and reading its answer to that end. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { readAnswerBody, sendWholeAnswer, type StreamRelay } from './answerRelay.js'
-import type { HeaderList, BackoffSignal } from './dialects.js'
-import type { CallOutcome } from './serverBoard.js'
+import type { HeaderList, BackoffSignal } from './protocols.js'
+import type { CallOutcome } from './serverStats.js'
 
 /** A send that was given up on because its server seems to be dead; it may have run. */
 export interface Abandoned {
--- a/packages/router/src/direct/sendOnce.ts
+++ b/packages/router/src/direct/sendOnce.ts
@@ -10,7 +10,7 @@
 } from 'node:http'
 import type { Socket } from 'node:net'
 import type { TimerService } from '@spoolgate/core'
-import type { HeaderList } from './dialects.js'
+import type { HeaderList } from './protocols.js'
 
 /** What is sent where. */
 export interface SendOptions {
--- a/packages/router/src/direct/sendRecord.ts
+++ b/packages/router/src/direct/sendRecord.ts
@@ -1,9 +1,9 @@
 /** What a router notes of a choice and of a send: for its log, and for later choices of all routers. */
 import { formatCallScope, type CallPlan } from './callPlan.js'
-import { recordWork, type Candidate } from './choice.js'
-import type { DirectSend } from './dialects.js'
-import type { DirectParts } from './directParts.js'
-import { buildPlacement } from './partMemory.js'
+import { recordWork, type Candidate } from './serverRanking.js'
+import type { DirectSend } from './protocols.js'
+import type { DirectParts } from './directContext.js'
+import { buildPlacement } from './prefixCacheIndex.js'
 
 /** Formats a choice with what decided it, and the server that came second. */
 export function formatChoice(
--- a/packages/router/src/direct/serverExits.ts
+++ b/packages/router/src/direct/serverExits.ts
@@ -6,7 +6,7 @@
 import type { BackendServerId, Logger, TimerService } from '@spoolgate/core'
 import { LRUCache } from 'lru-cache'
 import type { Observable } from 'rxjs'
-import type { Liveness, ProbedServer } from './liveness.js'
+import type { Liveness, ProbedServer } from './livenessMonitor.js'
 
 /** Options of {@link createServerExits}. */
 export interface ServerExitsOptions {
--- a/packages/router/src/direct/choice.ts
+++ b/packages/router/src/direct/serverRanking.ts
@@ -6,20 +6,20 @@
 import type { FleetView, RegisteredServer, ServerLoad } from '@spoolgate/control'
 import type { BackendServerId, RandomSource } from '@spoolgate/core'
 import type { ServerGroup } from '@spoolgate/routing'
-import type { PromptFacts } from './dialects.js'
-import type { Liveness } from './liveness.js'
-import type { PartMemory } from './partMemory.js'
-import type { ServerBoard } from './serverBoard.js'
+import type { PromptFacts } from './protocols.js'
+import type { Liveness } from './livenessMonitor.js'
+import type { PartMemory } from './prefixCacheIndex.js'
+import type { ServerBoard } from './serverStats.js'
 import { isOpenTo, judgeServer, type VerdictParts } from './serverVerdict.js'
-import { LONG_PROMPT_TOKENS, type PromptKind, type WorkSplit } from './workSplit.js'
-import type { WorkTimes } from './workTimes.js'
+import { LONG_PROMPT_TOKENS, type PromptKind, type WorkSplit } from './enginePartition.js'
+import type { WorkTimes } from './serviceTimes.js'
 import {
   countSharedTokens,
   findPlaces,
   findVersion,
   type PromptPlaces,
   type StorePlace,
-} from './sources.js'
+} from './prefixLocations.js'
 
 /** What a choice is made for. */
 export interface ChoiceInput {
--- a/packages/router/src/direct/sendChoice.ts
+++ b/packages/router/src/direct/serverSelection.ts
@@ -1,8 +1,8 @@
 /** Choosing the backend server for the next send of a request, or that there is none to send it to. */
 import type { BackendServerId } from '@spoolgate/core'
 import { formatCallScope, type CallPlan } from './callPlan.js'
-import { LOADING_MS, rankServers, type Candidate } from './choice.js'
-import type { DirectParts } from './directParts.js'
+import { LOADING_MS, rankServers, type Candidate } from './serverRanking.js'
+import type { DirectParts } from './directContext.js'
 import { findComeBackSeconds, drawReturnSeconds } from './refusals.js'
 import { formatChoice } from './sendRecord.js'
 import { judgeServer } from './serverVerdict.js'
--- a/packages/router/src/index.ts
+++ b/packages/router/src/index.ts
@@ -18,4 +18,4 @@
   PromptFacts,
   PromptPart,
   BackoffSignal,
-} from './direct/dialects.js'
+} from './direct/protocols.js'
