--- a/packages/router/src/direct/sendAdmission.ts
+++ b/packages/router/src/direct/sendAdmission.ts
@@ -3,8 +3,8 @@
 import type { CallPlan } from './callPlan.js'
 import type { Candidate } from './serverRanking.js'
 import type { DirectParts } from './directContext.js'
-import { admitQuota } from './quotaRefusal.js'
-import { createQuarantineError, createRefusal } from './refusals.js'
+import { takeQuota } from './sendQuota.js'
+import { createQuarantineError, createUnavailableError } from './errorResponses.js'
 import { chooseSend, type SendsSoFar } from './serverSelection.js'
 
 /** What has become of a request so far. */
@@ -40,9 +40,9 @@
   // A request that may have run is not refused as one that has not.
   const refuse = (error: SpoolgateError): RefusedSend => ({
     kind: 'refused',
-    error: state.mayHaveRun ? createRefusal(true) : error,
+    error: state.mayHaveRun ? createUnavailableError(true) : error,
   })
-  const quota = await admitQuota(parts, plan)
+  const quota = await takeQuota(parts, plan)
   if (quota.refusal) {
     log('call.quotaReached', quota.refusal.fields)
     parts.instruments.quotaRefusals.add(1, { team: plan.team?.id ?? '' })
@@ -50,18 +50,18 @@
   }
   const held = parts.quarantine.admit(state.fingerprint)
   if (held.kind === 'refused') {
-    quota.giveBack()
+    quota.refund()
     log('call.quarantined', { round: held.round, leftMs: held.leftMs })
     return refuse(createQuarantineError(held.leftMs))
   }
   const giveBack = () => {
-    quota.giveBack()
-    held.giveBack()
+    quota.refund()
+    held.returnTrial()
   }
   const choice = chooseSend(parts, plan, state, log)
   if (choice.kind === 'server') {
     return { kind: 'admitted', candidate: choice.candidate, round: held.round, giveBack }
   }
   giveBack()
-  return refuse(createRefusal(false, choice.retryAfterSeconds))
+  return refuse(createUnavailableError(false, choice.retryAfterSeconds))
 }
--- a/packages/router/src/direct/serveCall.ts
+++ b/packages/router/src/direct/serveCall.ts
@@ -15,8 +15,12 @@
 import type { DirectParts } from './directContext.js'
 import { waitForHead } from './headWait.js'
 import { CONNECT_MS } from './livenessMonitor.js'
-import { listStopInputs } from './plannedStop.js'
-import { createRefusal, createTimeoutError, createUnknownError } from './refusals.js'
+import { listRefusalFields } from './gracefulShutdown.js'
+import {
+  createUnavailableError,
+  createTimeoutError,
+  createOutcomeUnknownError,
+} from './errorResponses.js'
 import {
   CALL_OUTCOMES,
   PROMISING_STATUSES,
@@ -30,7 +34,7 @@
 import { findReturnSeconds } from './serverSelection.js'
 import { buildSend, recordPrompt } from './sendRecord.js'
 import { startSend, type Send } from './sendOnce.js'
-import { watchSilence } from './serverRestarts.js'
+import { watchStall } from './restartDetector.js'
 import type { CallTicket } from './serverStats.js'
 
 /** Ends of sends that no server began. */
@@ -96,7 +100,7 @@
     const work = this.sendUntilAnswered().catch((cause) => {
       const reason = cause instanceof Error ? cause.message : String(cause)
       parts.logger.error('call.internalError', { request: plan.call.id, reason })
-      this.refuse(createUnknownError('an internal fault; report it with the request id'))
+      this.refuse(createOutcomeUnknownError('an internal fault; report it with the request id'))
     })
     await Promise.race([work, isDone])
     this.timeout.unsubscribe()
@@ -177,9 +181,9 @@
 
   /** Sends, and records in the quarantine what became of the request. */
   private async sendAdmitted({ candidate, round }: AdmittedSend): Promise<SendEnd> {
-    const { quarantine, exits } = this.parts
+    const { quarantine, crashDetector: exits } = this.parts
     const { server } = candidate
-    this.recordLost = () => exits.recordLost(server, { request: this.fingerprint, round })
+    this.recordLost = () => exits.recordInterrupted(server, { request: this.fingerprint, round })
     const end = await this.sendTo(candidate)
     const isLost = end.kind === 'lost' || end.kind === 'abandoned'
     // What this router broke off itself shows nothing.
@@ -194,8 +198,8 @@
    */
   private findStopRefusal(): SpoolgateError | undefined {
     if (this.sends === 0 || this.mayHaveRun) return undefined
-    const refusal = this.parts.stop.findRefusal(this.plan)
-    if (refusal) this.log('call.notSentAgain', listStopInputs(refusal))
+    const refusal = this.parts.shutdown.findRefusal(this.plan)
+    if (refusal) this.log('call.notSentAgain', listRefusalFields(refusal))
     return refusal
   }
 
@@ -236,16 +240,16 @@
   }
 
   private async sendTo(candidate: Candidate): Promise<SendEnd> {
-    const restarted = watchSilence({
-      restarts: this.parts.restarts,
+    const restarted = watchStall({
+      restarts: this.parts.restartDetector,
       timers: this.parts.timers,
       server: candidate.server.id,
-      lastSignAt: () => this.lastSignAt,
+      lastDataAt: () => this.lastSignAt,
       onRestart: () => {
         this.log('call.serverRestarted', { server: candidate.server.id })
         this.current?.startProbing()
       },
-      onSilent: () => {
+      onStall: () => {
         if (!this.isOver && this.isRepeatable()) this.current?.cancel()
       },
     })
@@ -317,7 +321,7 @@
         this.excluded.add(candidate.server.id)
         return false
       case 'forbidden':
-        this.refuse(createRefusal(this.mayHaveRun))
+        this.refuse(createUnavailableError(this.mayHaveRun))
         return true
       case 'notRun':
         return this.settleNotRun(candidate, end)
@@ -334,7 +338,7 @@
     const isCorrected = (end.version ?? 0) > (version ?? Infinity)
     if (!isCorrected) this.excluded.add(server.id)
     if (this.parts.retries.take(this.plan.group.name)) return false
-    this.refuse(createRefusal(this.mayHaveRun, findReturnSeconds(this.parts, this.plan)))
+    this.refuse(createUnavailableError(this.mayHaveRun, findReturnSeconds(this.parts, this.plan)))
     return true
   }
 
@@ -343,7 +347,7 @@
     if (this.mayRepeat()) return false
     // A status that promises "not run" would be false for a request that ran.
     if (PROMISING_STATUSES.has(end.status)) {
-      this.refuse(createUnknownError('the backend server failed'))
+      this.refuse(createOutcomeUnknownError('the backend server failed'))
       return true
     }
     this.stop(`status${end.status}`)
@@ -354,7 +358,7 @@
   private settleLost(candidate: Candidate, reason: string): boolean {
     this.excluded.add(candidate.server.id)
     if (this.mayRepeat()) return false
-    this.refuse(createUnknownError(reason))
+    this.refuse(createOutcomeUnknownError(reason))
     return true
   }
 
