--- a/packages/router/src/__tests__/backoffSimulation.ts
+++ b/packages/router/src/__tests__/backoffSimulation.ts
@@ -6,8 +6,8 @@
 import { createManualTimerService, createRandomSource, type BackendServerId } from '@spoolgate/core'
 import { addBackoffs } from '../direct/responseSignals.js'
 import { rankServers, type Candidate } from '../direct/serverRanking.js'
-import { createRetryShare, type RetryShare } from '../direct/retryBudget.js'
-import { buildView, createChoiceParts, createEngineServer, GROUP } from './rankingFixtures.js'
+import { createRetryBudget, type RetryBudget } from '../direct/retryBudget.js'
+import { buildView, createRankingContext, createEngineServer, GROUP } from './rankingFixtures.js'
 
 /** What is shown. */
 export interface BackoffSimulationOptions {
@@ -67,8 +67,8 @@
   readonly name: string
   /** The fleet with what the leader last reported of the others. */
   view: FleetView
-  readonly parts: ReturnType<typeof createChoiceParts>
-  readonly retries: RetryShare
+  readonly parts: ReturnType<typeof createRankingContext>
+  readonly retries: RetryBudget
   readonly backoffs: SimulatedBackoff[]
 }
 
@@ -97,8 +97,8 @@
     return {
       name: `r${index}`,
       view: buildView(this.servers, {}),
-      parts: createChoiceParts(timers, options.seed + index),
-      retries: createRetryShare({ timers, bounds: BOUNDS, countRouters: () => options.routers }),
+      parts: createRankingContext(timers, options.seed + index),
+      retries: createRetryBudget({ timers, bounds: BOUNDS, countRouters: () => options.routers }),
       backoffs: [],
     }
   }
@@ -114,10 +114,10 @@
 
   private poll(router: SimulatedRouter): void {
     const { timers, leader, options, random } = this
-    const { board, backpressure } = router.parts
+    const { serverStats, backpressure } = router.parts
     leader.record(
       router.name,
-      addBackoffs(board.listLoads(), backpressure.listBackingOff(timers.now())),
+      addBackoffs(serverStats.listLoads(), backpressure.listBackingOff(timers.now())),
     )
     router.view = { ...router.view, loads: leader.sumOthers(router.name) }
     const periodMs = Math.max(POLL_MS, options.routers * POLL_MS_PER_ROUTER)
@@ -154,10 +154,10 @@
     const best = this.choose(router, excluded)
     if (!best) return
     const { id } = best.server
-    const ticket = parts.board.open(id, best.unreadTokens)
+    const ticket = parts.serverStats.startCall(id, best.uncachedTokens)
     parts.backpressure.recordSend(id, timers.now())
     this.countSend(router, id)
-    if (excluded.size === 0) retries.recordFirst(GROUP.name)
+    if (excluded.size === 0) retries.recordFirstSend(GROUP.name)
     if (this.isShedding(best.server)) {
       timers.after(ANSWER_MS).subscribe(() => {
         ticket.finish('none')
@@ -181,7 +181,8 @@
     router.parts.backpressure.recordBackoff(server, retryAfterMs, from)
     router.backoffs.push({ server, from, until: from + retryAfterMs, sends: 0 })
     excluded.add(server)
-    if (excluded.size < MAX_SENDS && router.retries.take(GROUP.name)) this.send(router, excluded)
+    if (excluded.size < MAX_SENDS && router.retries.takeRetry(GROUP.name))
+      this.send(router, excluded)
   }
 
   /** Share of a server in the second after the last rest that it asked for, over the even one; 0 without such a second. */
--- a/packages/router/src/__tests__/crashDetector.spec.ts
+++ b/packages/router/src/__tests__/crashDetector.spec.ts
@@ -22,7 +22,7 @@
   let checks = 0
   const detector = createCrashDetector({
     liveness: {
-      checkAlive: async () => {
+      checkReachable: async () => {
         checks += 1
         return isAlive
       },
--- a/packages/router/src/__tests__/directComponents.spec.ts
+++ b/packages/router/src/__tests__/directComponents.spec.ts
@@ -3,10 +3,10 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
 import { createEventCutter } from '../direct/eventCutter.js'
-import { buildPlacement, createPartMemory } from '../direct/prefixCacheIndex.js'
-import { createRetryShare } from '../direct/retryBudget.js'
-import { createLiveness } from '../direct/livenessMonitor.js'
-import { createServerBoard } from '../direct/serverStats.js'
+import { buildPlacement, createPrefixCacheIndex } from '../direct/prefixCacheIndex.js'
+import { createRetryBudget } from '../direct/retryBudget.js'
+import { createLivenessMonitor } from '../direct/livenessMonitor.js'
+import { createServerStats } from '../direct/serverStats.js'
 
 const S1 = toBackendServerId('s1')
 const PARTS = [
@@ -57,9 +57,9 @@
         const countRouters = () => firsts.length
         let repeats = 0
         for (const count of firsts) {
-          const share = createRetryShare({ timers, bounds, countRouters })
-          for (let turn = 0; turn < count; turn += 1) share.recordFirst('g')
-          while (share.take('g')) repeats += 1
+          const share = createRetryBudget({ timers, bounds, countRouters })
+          for (let turn = 0; turn < count; turn += 1) share.recordFirstSend('g')
+          while (share.takeRetry('g')) repeats += 1
         }
         const requests = firsts.reduce((sum, count) => sum + count, 0)
         expect(repeats).to.be.at.most(bounds.ratio * requests + bounds.slack)
@@ -70,72 +70,72 @@
 
   it('is given back once the window has passed', () => {
     const timers = createManualTimerService()
-    const share = createRetryShare({ timers, bounds, countRouters: () => 40 })
-    for (let turn = 0; turn < 10; turn += 1) share.recordFirst('g')
-    while (share.take('g'));
+    const share = createRetryBudget({ timers, bounds, countRouters: () => 40 })
+    for (let turn = 0; turn < 10; turn += 1) share.recordFirstSend('g')
+    while (share.takeRetry('g'));
     timers.advance(bounds.windowMs + 1)
-    for (let turn = 0; turn < 10; turn += 1) share.recordFirst('g')
-    expect(share.take('g')).to.equal(true)
+    for (let turn = 0; turn < 10; turn += 1) share.recordFirstSend('g')
+    expect(share.takeRetry('g')).to.equal(true)
   })
 })
 
 function createMemory(cacheTokens = 10_000) {
-  return createPartMemory({ findCacheTokens: () => cacheTokens })
+  return createPrefixCacheIndex({ findCacheTokens: () => cacheTokens })
 }
 
 describe('the memory of cached parts', () => {
   it('counts the leading parts that an engine was sent, under one version and scope only', () => {
     const memory = createMemory()
-    memory.record(buildPlacement(S1, 2, 'shared', PARTS))
+    memory.recordPlacement(buildPlacement(S1, 2, 'shared', PARTS))
     const others = [...PARTS.slice(0, 2), { id: 'another', tokens: 9 }]
-    expect(memory.countMatched(S1, 2, 'shared', others)).to.equal(150)
-    expect(memory.countMatched(S1, 3, 'shared', others)).to.equal(0)
-    expect(memory.countMatched(S1, 2, 'team', others)).to.equal(0)
+    expect(memory.countCachedTokens(S1, 2, 'shared', others)).to.equal(150)
+    expect(memory.countCachedTokens(S1, 3, 'shared', others)).to.equal(0)
+    expect(memory.countCachedTokens(S1, 2, 'team', others)).to.equal(0)
   })
 
   it('forgets what new weights dropped, and does not let late news bring it back', () => {
     const memory = createMemory()
-    memory.record(buildPlacement(S1, 2, 'shared', PARTS))
-    memory.record(buildPlacement(S1, 3, 'shared', PARTS.slice(0, 1)))
-    memory.record(buildPlacement(S1, 2, 'shared', PARTS))
-    expect(memory.countMatched(S1, 2, 'shared', PARTS)).to.equal(0)
-    expect(memory.countMatched(S1, 3, 'shared', PARTS)).to.equal(100)
+    memory.recordPlacement(buildPlacement(S1, 2, 'shared', PARTS))
+    memory.recordPlacement(buildPlacement(S1, 3, 'shared', PARTS.slice(0, 1)))
+    memory.recordPlacement(buildPlacement(S1, 2, 'shared', PARTS))
+    expect(memory.countCachedTokens(S1, 2, 'shared', PARTS)).to.equal(0)
+    expect(memory.countCachedTokens(S1, 3, 'shared', PARTS)).to.equal(100)
   })
 
   it('gives up the parts unused longest when an engine is full', () => {
     const memory = createMemory(100)
-    memory.record(buildPlacement(S1, 1, 'shared', [{ id: 'old', tokens: 60 }]))
-    memory.record(buildPlacement(S1, 1, 'shared', [{ id: 'new', tokens: 60 }]))
-    expect(memory.countMatched(S1, 1, 'shared', [{ id: 'old', tokens: 60 }])).to.equal(0)
-    expect(memory.countMatched(S1, 1, 'shared', [{ id: 'new', tokens: 60 }])).to.equal(60)
+    memory.recordPlacement(buildPlacement(S1, 1, 'shared', [{ id: 'old', tokens: 60 }]))
+    memory.recordPlacement(buildPlacement(S1, 1, 'shared', [{ id: 'new', tokens: 60 }]))
+    expect(memory.countCachedTokens(S1, 1, 'shared', [{ id: 'old', tokens: 60 }])).to.equal(0)
+    expect(memory.countCachedTokens(S1, 1, 'shared', [{ id: 'new', tokens: 60 }])).to.equal(60)
   })
 
   it('counts what an engine was sent at once, and what it says itself stands', () => {
     const memory = createMemory()
-    memory.record(buildPlacement(S1, 1, 'shared', PARTS))
-    expect(memory.countMatched(S1, 1, 'shared', PARTS)).to.equal(170)
-    memory.confirm([S1, 1, hashPart('shared', 'inner'), 16])
-    memory.record(buildPlacement(S1, 1, 'shared', PARTS))
-    expect(memory.countMatched(S1, 1, 'shared', PARTS)).to.equal(116)
+    memory.recordPlacement(buildPlacement(S1, 1, 'shared', PARTS))
+    expect(memory.countCachedTokens(S1, 1, 'shared', PARTS)).to.equal(170)
+    memory.confirmPlacement([S1, 1, hashPart('shared', 'inner'), 16])
+    memory.recordPlacement(buildPlacement(S1, 1, 'shared', PARTS))
+    expect(memory.countCachedTokens(S1, 1, 'shared', PARTS)).to.equal(116)
   })
 
   it('counts a part that is kept in part, and nothing behind it or behind one that is gone', () => {
     const memory = createMemory()
-    memory.confirm(buildPlacement(S1, 1, 'shared', PARTS))
+    memory.confirmPlacement(buildPlacement(S1, 1, 'shared', PARTS))
     const keep = (id: string, tokens: number) =>
-      memory.confirm(buildPlacement(S1, 1, 'shared', [{ id, tokens }]))
+      memory.confirmPlacement(buildPlacement(S1, 1, 'shared', [{ id, tokens }]))
     keep('inner', 32)
-    expect(memory.countMatched(S1, 1, 'shared', PARTS)).to.equal(132)
+    expect(memory.countCachedTokens(S1, 1, 'shared', PARTS)).to.equal(132)
     // Engines keep whole blocks: what is missing here is less than one.
     keep('inner', 48)
-    expect(memory.countMatched(S1, 1, 'shared', PARTS)).to.equal(168)
+    expect(memory.countCachedTokens(S1, 1, 'shared', PARTS)).to.equal(168)
     keep('outer', 0)
-    expect(memory.countMatched(S1, 1, 'shared', PARTS)).to.equal(0)
+    expect(memory.countCachedTokens(S1, 1, 'shared', PARTS)).to.equal(0)
   })
 
   it('hands its own placements to the other routers once', () => {
     const memory = createMemory()
-    memory.recordOwn(buildPlacement(S1, 1, 'shared', PARTS))
+    memory.recordOwnPlacement(buildPlacement(S1, 1, 'shared', PARTS))
     expect(memory.takePlacements()).to.have.length(1)
     expect(memory.takePlacements()).to.have.length(0)
   })
@@ -144,28 +144,28 @@
 describe('the board of servers', () => {
   it('knows a call without a sign of life of the server, until there is one', () => {
     const timers = createManualTimerService()
-    const board = createServerBoard(timers)
-    const call = board.open(S1, 10)
+    const board = createServerStats(timers)
+    const call = board.startCall(S1, 10)
     timers.advance(1)
-    expect(call.isUnanswered()).to.equal(true)
-    board.open(S1, 10).recordSign()
-    expect(call.isUnanswered()).to.equal(false)
+    expect(call.hasNoServerActivity()).to.equal(true)
+    board.startCall(S1, 10).recordActivity()
+    expect(call.hasNoServerActivity()).to.equal(false)
   })
 
   it('rates failures, and forgets them as calls succeed', () => {
-    const board = createServerBoard(createManualTimerService())
-    for (let turn = 0; turn < 10; turn += 1) board.open(S1, 0).finish('failed')
+    const board = createServerStats(createManualTimerService())
+    for (let turn = 0; turn < 10; turn += 1) board.startCall(S1, 0).finish('failed')
     expect(board.findFailureRate(S1)).to.be.above(0.6)
-    for (let turn = 0; turn < 40; turn += 1) board.open(S1, 0).finish('ok')
+    for (let turn = 0; turn < 40; turn += 1) board.startCall(S1, 0).finish('ok')
     expect(board.findFailureRate(S1)).to.be.below(0.05)
   })
 
   it('counts calls and the prompt tokens that were not read yet', () => {
-    const board = createServerBoard(createManualTimerService())
-    const call = board.open(S1, 10)
-    board.open(S1, 5)
+    const board = createServerStats(createManualTimerService())
+    const call = board.startCall(S1, 10)
+    board.startCall(S1, 5)
     expect(board.findLoad(S1)).to.deep.equal({ calls: 2, promptTokens: 15 })
-    call.recordFirstPart()
+    call.recordFirstChunk()
     call.finish('ok')
     call.finish('ok')
     expect(board.findLoad(S1)).to.deep.equal({ calls: 1, promptTokens: 5 })
@@ -178,24 +178,28 @@
   it('takes a server that accepts connections for alive, however slow it is', async () => {
     const timers = createManualTimerService()
     const probe = async () => true
-    const liveness = createLiveness({ timers, probe, isRegistered: () => true })
-    expect(await liveness.checkAlive(server)).to.equal(true)
-    expect(liveness.isDead(S1)).to.equal(false)
+    const liveness = createLivenessMonitor({ timers, probe, isRegistered: () => true })
+    expect(await liveness.checkReachable(server)).to.equal(true)
+    expect(liveness.isUnreachable(S1)).to.equal(false)
   })
 
   it('takes one that does not for dead, until it accepts one again', async () => {
     const timers = createManualTimerService()
     let isUp = false
-    const liveness = createLiveness({ timers, probe: async () => isUp, isRegistered: () => true })
-    expect(await liveness.checkAlive(server)).to.equal(false)
-    expect(liveness.isDead(S1)).to.equal(true)
+    const liveness = createLivenessMonitor({
+      timers,
+      probe: async () => isUp,
+      isRegistered: () => true,
+    })
+    expect(await liveness.checkReachable(server)).to.equal(false)
+    expect(liveness.isUnreachable(S1)).to.equal(true)
     timers.advance(1_000)
     await new Promise((resolve) => setImmediate(resolve))
-    expect(liveness.isDead(S1)).to.equal(true)
+    expect(liveness.isUnreachable(S1)).to.equal(true)
     isUp = true
     timers.advance(1_000)
     await new Promise((resolve) => setImmediate(resolve))
-    expect(liveness.isDead(S1)).to.equal(false)
+    expect(liveness.isUnreachable(S1)).to.equal(false)
     liveness.close()
   })
 })
--- a/packages/router/src/__tests__/errorResponses.spec.ts
+++ b/packages/router/src/__tests__/errorResponses.spec.ts
@@ -1,6 +1,6 @@
 import type { RouteRule } from '@spoolgate/routing'
 import { expect } from 'chai'
-import { rankPriority, rankSend } from '../direct/callPlan.js'
+import { resolvePriority, resolveSendPriority } from '../direct/callPlan.js'
 import {
   createUnavailableError,
   createTimeoutError,
@@ -28,16 +28,16 @@
 
 describe('the rank of a request', () => {
   it('is decided by the team, then by the route, and never leaves the scale', () => {
-    expect(rankPriority(undefined, 2)).to.equal(2)
-    expect(rankPriority(0, 2)).to.be.below(rankPriority(1, 0))
-    expect(rankPriority(1, 0)).to.be.below(rankPriority(1, 1))
-    expect(rankPriority(99, 99)).to.equal(9)
+    expect(resolvePriority(undefined, 2)).to.equal(2)
+    expect(resolvePriority(0, 2)).to.be.below(resolvePriority(1, 0))
+    expect(resolvePriority(1, 0)).to.be.below(resolvePriority(1, 1))
+    expect(resolvePriority(99, 99)).to.equal(9)
   })
 
   it('is the last for an answer that comes late in any case', () => {
     const plan = { route: { targetMs: 600 } as RouteRule, priority: 4 }
-    expect(rankSend(plan, 600)).to.equal(4)
-    expect(rankSend(plan, 601)).to.equal(9)
-    expect(rankSend({ ...plan, route: { targetMs: 0 } as RouteRule }, 5_000)).to.equal(4)
+    expect(resolveSendPriority(plan, 600)).to.equal(4)
+    expect(resolveSendPriority(plan, 601)).to.equal(9)
+    expect(resolveSendPriority({ ...plan, route: { targetMs: 0 } as RouteRule }, 5_000)).to.equal(4)
   })
 })
--- a/packages/router/src/__tests__/limitSimulation.ts
+++ b/packages/router/src/__tests__/limitSimulation.ts
@@ -11,7 +11,7 @@
 import { createManualTimerService, createRandomSource, type BackendServerId } from '@spoolgate/core'
 import { rankServers } from '../direct/serverRanking.js'
 import { createServerLimits } from '../limits/serverLimits.js'
-import { buildView, createChoiceParts, createEngineServer, GROUP } from './rankingFixtures.js'
+import { buildView, createRankingContext, createEngineServer, GROUP } from './rankingFixtures.js'
 
 /** A change of what servers name. */
 export interface LimitChange {
@@ -78,7 +78,7 @@
 interface SimulatedRouter {
   readonly name: string
   view: FleetView
-  readonly parts: ReturnType<typeof createChoiceParts>
+  readonly parts: ReturnType<typeof createRankingContext>
   readonly limits: ReturnType<typeof createServerLimits>
   term: number
   limitsSeen: number
@@ -131,7 +131,7 @@
   private createRouter(index: number): SimulatedRouter {
     const { options, timers } = this
     this.restarts += 1
-    const parts = createChoiceParts(timers, options.seed + this.restarts)
+    const parts = createRankingContext(timers, options.seed + this.restarts)
     return {
       name: `r${index}`,
       view: buildView(this.servers, {}),
@@ -161,7 +161,7 @@
     }
     const { term } = this
     const observed = router.limits.listUnreported(router.term, askedAt)
-    this.loads.record(router.name, router.parts.board.listLoads())
+    this.loads.record(router.name, router.parts.serverStats.listLoads())
     this.limitParts.record(observed.reports)
     timers.after(waitMs).subscribe(() => {
       if (term === this.term && router.isRunning) this.applyReply(router, observed, askedAt)
@@ -195,7 +195,7 @@
       return
     }
     const { id } = best.server
-    const ticket = parts.board.open(id, best.unreadTokens)
+    const ticket = parts.serverStats.startCall(id, best.uncachedTokens)
     limits.recordSend(id, now)
     const isCounted = now >= (informedAt.get(id) ?? Infinity) + INFORMED_AFTER_MS
     this.arrivals.set(id, [...(this.arrivals.get(id) ?? []), { at: now, isCounted }])
@@ -204,7 +204,7 @@
       if (perSecond === undefined) informedAt.delete(id)
       else if (!informedAt.has(id)) informedAt.set(id, timers.now())
       limits.recordAnswer(id, { perSecond, sentAt: now }, timers.now())
-      ticket.recordFirstPart()
+      ticket.recordFirstChunk()
     })
     timers.after(this.options.workMs ?? 100).subscribe(() => ticket.finish('ok'))
   }
--- a/packages/router/src/__tests__/prefixLocations.spec.ts
+++ b/packages/router/src/__tests__/prefixLocations.spec.ts
@@ -7,9 +7,9 @@
 import { createManualTimerService, toBackendServerId, toServerName } from '@spoolgate/core'
 import { formatCacheScope, formatStoreId } from '@spoolgate/routing'
 import { expect } from 'chai'
-import { buildPlacement, createPartMemory } from '../direct/prefixCacheIndex.js'
-import { createServerBoard } from '../direct/serverStats.js'
-import { findPlaces } from '../direct/prefixLocations.js'
+import { buildPlacement, createPrefixCacheIndex } from '../direct/prefixCacheIndex.js'
+import { createServerStats } from '../direct/serverStats.js'
+import { findPrefixLocations } from '../direct/prefixLocations.js'
 
 const STORE = { address: 's:1', epoch: 5 }
 const STORES = ['s:1', 's:2', 's:3'].map((address) => ({ address, epoch: 5 }))
@@ -38,12 +38,12 @@
   backingOff: readonly string[] = [],
 ) {
   const timers = createManualTimerService()
-  const memory = createPartMemory({ findCacheTokens: () => 100_000 })
+  const memory = createPrefixCacheIndex({ findCacheTokens: () => 100_000 })
   for (const [id, count] of Object.entries(kept)) {
-    memory.confirm(buildPlacement(toBackendServerId(id), 1, SCOPE, SHARED.slice(0, count)))
+    memory.confirmPlacement(buildPlacement(toBackendServerId(id), 1, SCOPE, SHARED.slice(0, count)))
   }
   for (const [id, count] of Object.entries(sent)) {
-    memory.record(buildPlacement(toBackendServerId(id), 1, SCOPE, SHARED.slice(0, count)))
+    memory.recordPlacement(buildPlacement(toBackendServerId(id), 1, SCOPE, SHARED.slice(0, count)))
   }
   const servers = [createServer('a', 'h1'), createServer('b', 'h1'), createServer('c', 'h2')]
   const view = {
@@ -51,7 +51,7 @@
     stores: [STORE],
     index: { table: { stores: [{ ...STORE, hall: 'h1', cacheTokens: 1, linkMbps: 25_000 }] } },
   } as unknown as FleetView
-  const places = findPlaces({
+  const places = findPrefixLocations({
     view,
     prompt: {
       model: 'm',
@@ -63,9 +63,9 @@
     servers,
     isOpen: (id) => !backingOff.includes(id),
     formatScope: () => SCOPE,
-    board: createServerBoard(timers),
-    memory,
-    forLong: undefined,
+    serverStats: createServerStats(timers),
+    prefixCache: memory,
+    longPromptEngines: undefined,
   })
   return { places, reader: servers[0] }
 }
@@ -75,17 +75,17 @@
 describe('where shared parts of a prompt are fetched from', () => {
   it('is the place that keeps the most', () => {
     const { places, reader } = findKept({ b: 1, c: 2 })
-    expect(places.findFetch(1, reader, 0)).to.include({ address: 'c:1', foundTokens: 5_000 })
+    expect(places.findFetchPlan(1, reader, 0)).to.include({ address: 'c:1', foundTokens: 5_000 })
   })
 
   it('is the nearest of those that keep as much, and an engine sooner than a store', () => {
     const { places, reader } = findKept({ b: 2, c: 2, [STORE_ID]: 2 })
-    expect(places.findFetch(1, reader, 0)?.address).to.equal('b:1')
+    expect(places.findFetchPlan(1, reader, 0)?.address).to.equal('b:1')
   })
 
   it('is the store where no engine has them, at the speed of its link', () => {
     const { places, reader } = findKept({ [STORE_ID]: 2 })
-    const plan = places.findFetch(1, reader, 0)
+    const plan = places.findFetchPlan(1, reader, 0)
     expect(plan?.address).to.equal('s:1')
     // 5,000 tokens of 18,432 bytes over 25 Gbit/s take 29.5 ms.
     expect(plan?.fetchMs).to.be.within(29.5, 35)
@@ -93,35 +93,35 @@
 
   it('is named as well for an engine that should have everything, and costs nothing then', () => {
     const { places, reader } = findKept({ b: 2 })
-    const plan = places.findFetch(1, reader, 5_000)
+    const plan = places.findFetchPlan(1, reader, 5_000)
     expect(plan).to.include({ address: 'b:1', foundTokens: 5_000, fetchMs: 0 })
   })
 
   it('is also an engine that was only sent them, so that they are not read twice', () => {
     const { places, reader } = findKept({}, { b: 2 })
-    expect(places.findFetch(1, reader, 0)).to.include({ address: 'b:1', foundTokens: 5_000 })
+    expect(places.findFetchPlan(1, reader, 0)).to.include({ address: 'b:1', foundTokens: 5_000 })
   })
 
   it('counts what is kept anywhere, and saves to a store what it lacks', () => {
     const { places } = findKept({ b: 1, [STORE_ID]: 1 })
-    expect(places.countAnywhere(1)).to.equal(2_000)
-    expect(places.findStore(1)?.address).to.equal('s:1')
-    expect(findKept({ [STORE_ID]: 2 }).places.findStore(1)).to.equal(undefined)
+    expect(places.countCachedAnywhere(1)).to.equal(2_000)
+    expect(places.findSaveTarget(1)?.address).to.equal('s:1')
+    expect(findKept({ [STORE_ID]: 2 }).places.findSaveTarget(1)).to.equal(undefined)
   })
 })
 
 describe('the engine that should read what nobody keeps', () => {
   it('is another one while it takes no requests, and the same again afterwards', () => {
-    const home = String(findKept({}).places.findHome(1))
-    const second = findKept({}, {}, [home]).places.findHome(1)
+    const home = String(findKept({}).places.findPreferredEngine(1))
+    const second = findKept({}, {}, [home]).places.findPreferredEngine(1)
     expect(second).to.not.equal(home)
-    expect(findKept({}, {}, [String(second)]).places.findHome(1)).to.equal(home)
-    expect(findKept({}, {}, ['a', 'b', 'c']).places.findHome(1)).to.equal(undefined)
+    expect(findKept({}, {}, [String(second)]).places.findPreferredEngine(1)).to.equal(home)
+    expect(findKept({}, {}, ['a', 'b', 'c']).places.findPreferredEngine(1)).to.equal(undefined)
   })
 
   it('may still be fetched from while it rests', () => {
     const { places, reader } = findKept({ b: 2 }, {}, ['b'])
-    expect(places.findFetch(1, reader, 0)).to.include({ address: 'b:1', foundTokens: 5_000 })
+    expect(places.findFetchPlan(1, reader, 0)).to.include({ address: 'b:1', foundTokens: 5_000 })
   })
 })
 
@@ -140,24 +140,24 @@
       })),
     }
     const view = { loading: new Set(), stores, index: { table } } as unknown as FleetView
-    const memory = createPartMemory({ findCacheTokens: () => 100_000 })
+    const memory = createPrefixCacheIndex({ findCacheTokens: () => 100_000 })
     return Array.from({ length: PROMPTS }, (_, index) => {
       const parts = [
         { id: `shared-${index}`, tokens: SHARED_TOKENS },
         { id: 'own', tokens: 100 },
       ]
-      const places = findPlaces({
+      const places = findPrefixLocations({
         view,
         prompt: { model: 'm', parts, promptTokens: SHARED_TOKENS + 100, maxTokens: 10 },
         engine: undefined,
         servers: [],
         isOpen: () => true,
         formatScope: () => SCOPE,
-        board: createServerBoard(createManualTimerService()),
-        memory,
-        forLong: undefined,
+        serverStats: createServerStats(createManualTimerService()),
+        prefixCache: memory,
+        longPromptEngines: undefined,
       })
-      return places.findStore(1)?.address
+      return places.findSaveTarget(1)?.address
     })
   }
 
--- a/packages/router/src/__tests__/rankingFixtures.ts
+++ b/packages/router/src/__tests__/rankingFixtures.ts
@@ -7,10 +7,10 @@
 } from '@spoolgate/control'
 import { createRandomSource, toServerName, type TimerService } from '@spoolgate/core'
 import { createBackpressure, type ServerGroup } from '@spoolgate/routing'
-import { createPartMemory } from '../direct/prefixCacheIndex.js'
-import { createServerBoard } from '../direct/serverStats.js'
-import { createWorkSplit } from '../direct/enginePartition.js'
-import { createWorkTimes } from '../direct/serviceTimes.js'
+import { createPrefixCacheIndex } from '../direct/prefixCacheIndex.js'
+import { createServerStats } from '../direct/serverStats.js'
+import { createEnginePartition } from '../direct/enginePartition.js'
+import { createServiceTimes } from '../direct/serviceTimes.js'
 import { createServerLimits } from '../limits/serverLimits.js'
 
 /** The group of all servers here. */
@@ -45,15 +45,15 @@
 }
 
 /** Creates the parts of a router that has sent nothing yet. */
-export function createChoiceParts(timers: TimerService, seed: number) {
+export function createRankingContext(timers: TimerService, seed: number) {
   return {
-    board: createServerBoard(timers),
+    serverStats: createServerStats(timers),
     backpressure: createBackpressure(),
     limits: createServerLimits(),
-    memory: createPartMemory({ findCacheTokens: () => 100_000 }),
-    liveness: { isDead: () => false } as never,
+    prefixCache: createPrefixCacheIndex({ findCacheTokens: () => 100_000 }),
+    liveness: { isUnreachable: () => false } as never,
     random: createRandomSource(seed),
-    split: createWorkSplit(timers),
-    times: createWorkTimes(),
+    enginePartition: createEnginePartition(timers),
+    serviceTimes: createServiceTimes(),
   }
 }
--- a/packages/router/src/__tests__/serverRanking.spec.ts
+++ b/packages/router/src/__tests__/serverRanking.spec.ts
@@ -3,7 +3,7 @@
 import { formatCacheScope } from '@spoolgate/routing'
 import { expect } from 'chai'
 import { rankServers } from '../direct/serverRanking.js'
-import { buildView, createChoiceParts, createEngineServer, GROUP } from './rankingFixtures.js'
+import { buildView, createRankingContext, createEngineServer, GROUP } from './rankingFixtures.js'
 
 const REST_MS = 3_000
 const PROMPT = {
@@ -22,7 +22,7 @@
 
   const createChoice = () => {
     const timers = createManualTimerService()
-    const parts = createChoiceParts(timers, 1)
+    const parts = createRankingContext(timers, 1)
     const rank = (loads: ServerLoads, prompt?: typeof PROMPT) =>
       rankServers(parts, {
         view: buildView(servers, loads),
@@ -57,7 +57,7 @@
   it('gives shared parts another home while theirs rests, here or at others, and the same again', () => {
     const { parts, rank, timers } = createChoice()
     const findHome = (loads: ServerLoads = {}) =>
-      rank(loads, PROMPT).find(({ isHome }) => isHome)?.server.id
+      rank(loads, PROMPT).find(({ isPreferred }) => isPreferred)?.server.id
     const home = findHome()
     if (home === undefined) throw new Error('no home')
     const second = findHome({ [home]: { ...call, backoffs: 1 } })
--- a/packages/router/src/direct/answerTimes.ts
+++ b/packages/router/src/direct/answerTimes.ts
@@ -1,6 +1,6 @@
 /** The times of one request: when its first part came, and how long the server of its last send took. */
 import type { CallPlan } from './callPlan.js'
-import type { DirectParts } from './directContext.js'
+import type { DirectContext } from './directContext.js'
 
 /** See {@link createAnswerTimes}. */
 export interface AnswerTimes {
@@ -16,7 +16,11 @@
 
 /** Creates the times of a request that was not sent yet. */
 export function createAnswerTimes(
-  { timers, times, instruments }: Pick<DirectParts, 'timers' | 'times' | 'instruments'>,
+  {
+    timers,
+    serviceTimes: times,
+    instruments,
+  }: Pick<DirectContext, 'timers' | 'serviceTimes' | 'instruments'>,
   { call, group, arrivedAt }: CallPlan,
 ): AnswerTimes {
   let sent: { readonly at: number; readonly unreadTokens: number } | undefined
@@ -25,8 +29,8 @@
   const recordWork = () => {
     if (!sent) return
     const ms = timers.now() - sent.at
-    if (call.prompt) times.recordRead(group.name, sent.unreadTokens, ms)
-    else times.recordPlain(group.name, ms)
+    if (call.prompt) times.recordPrefill(group.name, sent.unreadTokens, ms)
+    else times.recordPlainRequest(group.name, ms)
   }
   return {
     recordSend: (unreadTokens) => {
--- a/packages/router/src/direct/callPlan.ts
+++ b/packages/router/src/direct/callPlan.ts
@@ -9,7 +9,7 @@
   type TeamEntry,
 } from '@spoolgate/routing'
 import type { DirectCall } from './protocols.js'
-import type { DirectParts } from './directContext.js'
+import type { DirectContext } from './directContext.js'
 
 /** A request that may be served. */
 export interface CallPlan {
@@ -25,11 +25,11 @@
 }
 
 /** Seconds after which a caller may try again while this router has no configuration. */
-const RETRY_WITHOUT_TABLE_S = 0.3
+const RETRY_AFTER_UNAVAILABLE_S = 0.3
 
-function createUnsureError(message: string): SpoolgateError {
+function createUnavailableError(message: string): SpoolgateError {
   return new SpoolgateError('controlUnavailable', message, {
-    retryAfterSeconds: RETRY_WITHOUT_TABLE_S,
+    retryAfterSeconds: RETRY_AFTER_UNAVAILABLE_S,
   })
 }
 
@@ -39,7 +39,7 @@
 const ROUTE_RANKS = 3
 
 /** Whether this router may still trust what it holds of keys and routes. */
-export function isProofFresh(parts: DirectParts): boolean {
+export function isProofFresh(parts: DirectContext): boolean {
   return parts.feed.proofAgeMs() <= parts.maxProofAgeMs
 }
 
@@ -57,7 +57,7 @@
  * Ranks a request, 0 being the most urgent: the team's priority decides, and among requests of one
  * rank of teams the route's.
  */
-export function rankPriority(team: number | undefined, route: number): number {
+export function resolvePriority(team: number | undefined, route: number): number {
   if (team === undefined) return Math.min(MAX_PRIORITY, route)
   const withinTeam = Math.min(ROUTE_RANKS - 1, Math.max(0, route))
   return Math.min(MAX_PRIORITY, Math.max(0, team) * ROUTE_RANKS + withinTeam)
@@ -68,7 +68,7 @@
  * comes late in any case lets those go first that can still be in time; its caller waits on, up to
  * its deadline.
  */
-export function rankSend(
+export function resolveSendPriority(
   { route, priority }: Pick<CallPlan, 'route' | 'priority'>,
   firstPartMs: number,
 ): number {
@@ -80,17 +80,18 @@
  * Plans a request.
  * @throws SpoolgateError for a request that must be refused.
  */
-export function resolveCall(parts: DirectParts, call: DirectCall, arrivedAt: number): CallPlan {
+export function resolveCall(parts: DirectContext, call: DirectCall, arrivedAt: number): CallPlan {
   const view = parts.feed.current()
-  if (!view) throw createUnsureError('no routing table yet; try again')
-  if (!isProofFresh(parts)) throw createUnsureError('control is out of reach; try another instance')
+  if (!view) throw createUnavailableError('no routing table yet; try again')
+  if (!isProofFresh(parts))
+    throw createUnavailableError('control is out of reach; try another instance')
   const path = call.target.split('?', 1)[0]
   const route = view.index.findRoute(call.host, path)
   if (!route) throw new SpoolgateError('unknownPath', 'no route for this host and path')
   const team = findTeam(view, route, call)
   const groupName = chooseTarget(route, parts.random)
   const group = view.index.findGroup(groupName)
-  if (!group) throw createUnsureError(`group ${groupName} is not defined; try again`)
+  if (!group) throw createUnavailableError(`group ${groupName} is not defined; try again`)
   const waitMs = Math.min(call.waitMs ?? Infinity, route.timeoutMs)
   return {
     call,
@@ -100,7 +101,7 @@
     team,
     arrivedAt,
     deadline: arrivedAt + waitMs,
-    priority: rankPriority(team?.priority, route.priority),
+    priority: resolvePriority(team?.priority, route.priority),
   }
 }
 
--- a/packages/router/src/direct/crashDetector.ts
+++ b/packages/router/src/direct/crashDetector.ts
@@ -6,11 +6,11 @@
 import type { BackendServerId, Logger, TimerService } from '@spoolgate/core'
 import { LRUCache } from 'lru-cache'
 import type { Observable } from 'rxjs'
-import type { Liveness, ProbedServer } from './livenessMonitor.js'
+import type { LivenessMonitor, ProbedServer } from './livenessMonitor.js'
 
 /** Options of {@link createCrashDetector}. */
 export interface CrashDetectorOptions {
-  readonly liveness: Pick<Liveness, 'checkAlive'>
+  readonly liveness: Pick<LivenessMonitor, 'checkReachable'>
   /** The router's view of the fleet, after each change. */
   readonly views: Observable<Pick<FleetView, 'servers'>>
   readonly timers: TimerService
@@ -77,7 +77,7 @@
     while (check.unchecked.length > 0) {
       const sends = check.unchecked
       check.unchecked = []
-      const isAlive = await liveness.checkAlive(server)
+      const isAlive = await liveness.checkReachable(server)
       if (crashed.has(server.id)) {
         for (const send of [...sends, ...check.unchecked]) onCrash(server.id, send)
         return
--- a/packages/router/src/direct/directContext.ts
+++ b/packages/router/src/direct/directContext.ts
@@ -11,19 +11,19 @@
   TurnQueue,
 } from '@spoolgate/core'
 import type { Backpressure } from '@spoolgate/routing'
-import type { BackendDialect, CallerDialect } from './protocols.js'
+import type { BackendProtocol, CallerProtocol } from './protocols.js'
 import type { QuotaAdmission } from '../limits/quotaAdmission.js'
 import type { ServerLimits } from '../limits/serverLimits.js'
-import type { Liveness } from './livenessMonitor.js'
-import type { PartMemory } from './prefixCacheIndex.js'
+import type { LivenessMonitor } from './livenessMonitor.js'
+import type { PrefixCacheIndex } from './prefixCacheIndex.js'
 import type { GracefulShutdown } from './gracefulShutdown.js'
-import type { RetryShare } from './retryBudget.js'
+import type { RetryBudget } from './retryBudget.js'
 import type { RequestQuarantine } from './requestQuarantine.js'
 import type { CrashDetector } from './crashDetector.js'
 import type { RestartDetector } from './restartDetector.js'
-import type { ServerBoard } from './serverStats.js'
-import type { WorkSplit } from './enginePartition.js'
-import type { WorkTimes } from './serviceTimes.js'
+import type { ServerStats } from './serverStats.js'
+import type { EnginePartition } from './enginePartition.js'
+import type { ServiceTimes } from './serviceTimes.js'
 
 /** Instruments of a direct router. */
 export interface DirectInstruments {
@@ -38,22 +38,22 @@
 }
 
 /** Parts shared by all requests of a direct router. */
-export interface DirectParts {
+export interface DirectContext {
   readonly instance: string
   readonly hall: string
   readonly feed: FeedFollower
-  readonly caller: CallerDialect
-  readonly backend: BackendDialect
+  readonly caller: CallerProtocol
+  readonly backend: BackendProtocol
   readonly agent: KeepAliveAgent
-  readonly board: ServerBoard
+  readonly serverStats: ServerStats
   readonly backpressure: Backpressure
   readonly limits: ServerLimits
   readonly quotas: QuotaAdmission
-  readonly liveness: Liveness
-  readonly memory: PartMemory
-  readonly split: WorkSplit
-  readonly times: WorkTimes
-  readonly retries: RetryShare
+  readonly liveness: LivenessMonitor
+  readonly prefixCache: PrefixCacheIndex
+  readonly enginePartition: EnginePartition
+  readonly serviceTimes: ServiceTimes
+  readonly retryBudget: RetryBudget
   readonly restartDetector: Pick<RestartDetector, 'watch'>
   readonly crashDetector: Pick<CrashDetector, 'recordInterrupted'>
   readonly quarantine: Pick<RequestQuarantine, 'admit' | 'recordAnswered'>
--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -29,27 +29,27 @@
 import { createBackpressure, type RoutingTable } from '@spoolgate/routing'
 import { firstValueFrom, race } from 'rxjs'
 import { resolveCall } from './callPlan.js'
-import type { BackendDialect, CallerDialect, DirectCall } from './protocols.js'
-import type { DirectInstruments, DirectParts } from './directContext.js'
-import { createLiveness, openProbe } from './livenessMonitor.js'
-import { createPartMemory } from './prefixCacheIndex.js'
+import type { BackendProtocol, CallerProtocol, DirectCall } from './protocols.js'
+import type { DirectInstruments, DirectContext } from './directContext.js'
+import { createLivenessMonitor, checkConnection } from './livenessMonitor.js'
+import { createPrefixCacheIndex } from './prefixCacheIndex.js'
 import {
   createGracefulShutdown,
   listRefusalFields,
   type TrackedRequest,
 } from './gracefulShutdown.js'
 import { createRequestQuarantine } from './requestQuarantine.js'
-import { createRetryShare, type RetryBounds } from './retryBudget.js'
+import { createRetryBudget, type RetryBounds } from './retryBudget.js'
 import { createQuotaAdmission } from '../limits/quotaAdmission.js'
 import { createQuotaCredits } from '../limits/quotaCredits.js'
 import { createServerLimits } from '../limits/serverLimits.js'
 import { addBackoffs } from './responseSignals.js'
-import { createServerBoard } from './serverStats.js'
+import { createServerStats } from './serverStats.js'
 import { createCrashDetector } from './crashDetector.js'
 import { createRestartDetector } from './restartDetector.js'
 import { serveCall } from './serveCall.js'
-import { createWorkSplit } from './enginePartition.js'
-import { createWorkTimes } from './serviceTimes.js'
+import { createEnginePartition } from './enginePartition.js'
+import { createServiceTimes } from './serviceTimes.js'
 
 /** Options of {@link createDirectRouter}. */
 export interface DirectRouterOptions {
@@ -60,8 +60,8 @@
   readonly port: number
   /** URLs of the control instances to start from; read again whenever they are needed. */
   readonly seeds: () => readonly string[]
-  readonly caller: CallerDialect
-  readonly backend: BackendDialect
+  readonly caller: CallerProtocol
+  readonly backend: BackendProtocol
   readonly decodeTable: (document: string) => RoutingTable
   readonly retryBounds: RetryBounds
   /** Age of the proof of the newest table beyond which keys are not trusted, in ms. */
@@ -159,17 +159,17 @@
   const metrics = createMetrics('router')
   const client = createHttpClient()
   const random = createRandomSource(options.seed ?? Date.now() % 2 ** 31)
-  const board = createServerBoard(timers)
+  const board = createServerStats(timers)
   const backpressure = createBackpressure()
   const limits = createServerLimits()
   const rejectedInputs = createRejectedInputs({ logger, timers })
   const agent = createKeepAliveAgent({ idleMs: BACKEND_IDLE_MS, marginMs: BACKEND_IDLE_MARGIN_MS })
-  const liveness = createLiveness({
+  const liveness = createLivenessMonitor({
     timers,
-    probe: openProbe,
+    probe: checkConnection,
     isRegistered: (id) => feed.current()?.servers.has(id) ?? false,
   })
-  const memory = createPartMemory({ findCacheTokens: (place) => findCacheTokens(place) })
+  const memory = createPrefixCacheIndex({ findCacheTokens: (place) => findCacheTokens(place) })
   const findCacheTokens = (place: BackendServerId): number => {
     const view = feed.current()
     const group = view?.servers.get(place)?.group
@@ -219,10 +219,10 @@
     onSuspects: quarantine.applySuspects,
     onTrial: quarantine.grantTrial,
     onPlacements: (placements) => {
-      for (const placement of placements) memory.record(placement)
+      for (const placement of placements) memory.recordPlacement(placement)
     },
     onKept: (placements) => {
-      for (const placement of placements) memory.confirm(placement)
+      for (const placement of placements) memory.confirmPlacement(placement)
     },
   })
   const instruments = createInstruments(metrics)
@@ -254,22 +254,22 @@
     () => backpressure.listBackingOff(timers.now()).length,
   )
   metrics.gauge('limited_servers', 'Backend servers that name a rate limit', limits.countLimited)
-  const parts: DirectParts = {
+  const parts: DirectContext = {
     instance: options.instance,
     hall: options.hall,
     feed,
     caller,
     backend: options.backend,
     agent,
-    board,
+    serverStats: board,
     backpressure,
     limits,
     quotas,
     liveness,
-    memory,
-    split: createWorkSplit(timers),
-    times: createWorkTimes(),
-    retries: createRetryShare({
+    prefixCache: memory,
+    enginePartition: createEnginePartition(timers),
+    serviceTimes: createServiceTimes(),
+    retryBudget: createRetryBudget({
       timers,
       bounds: options.retryBounds,
       countRouters: () => feed.current()?.routers ?? 1,
--- a/packages/router/src/direct/enginePartition.ts
+++ b/packages/router/src/direct/enginePartition.ts
@@ -8,14 +8,14 @@
 import { hashText } from '@spoolgate/routing'
 
 /** The kind of a generation request by what it makes an engine do. */
-export type PromptKind = 'long' | 'short'
+export type PromptLength = 'long' | 'short'
 
-/** The division; see {@link createWorkSplit}. */
-export interface WorkSplit {
+/** The division; see {@link createEnginePartition}. */
+export interface EnginePartition {
   /** Notes the work of a request that is sent, in ms of an engine. */
-  record(group: string, kind: PromptKind, workMs: number): void
+  recordWork(group: string, kind: PromptLength, workMs: number): void
   /** Lists the engines that should take long prompts; undefined where there is nothing to divide. */
-  listForLong(
+  listLongPromptEngines(
     group: string,
     servers: readonly BackendServerId[],
   ): ReadonlySet<BackendServerId> | undefined
@@ -39,7 +39,7 @@
 }
 
 /** Creates a division that knows of no work. */
-export function createWorkSplit(timers: TimerService): WorkSplit {
+export function createEnginePartition(timers: TimerService): EnginePartition {
   const groups = new Map<string, Work>()
   const findWork = (group: string): Work => {
     const now = timers.now()
@@ -52,12 +52,12 @@
     return work
   }
   return {
-    record: (group, kind, workMs) => {
+    recordWork: (group, kind, workMs) => {
       const work = findWork(group)
       work[kind] += workMs
       work[kind === 'long' ? 'longCount' : 'shortCount'] += 1
     },
-    listForLong: (group, servers) => {
+    listLongPromptEngines: (group, servers) => {
       const { long, short, longCount, shortCount } = findWork(group)
       const isKnown = Math.min(longCount, shortCount) >= MIN_REQUESTS
       if (servers.length < MIN_ENGINES || !isKnown) return undefined
--- a/packages/router/src/direct/headWait.ts
+++ b/packages/router/src/direct/headWait.ts
@@ -6,7 +6,7 @@
  */
 import type { KeepAliveAgent, TimerService } from '@spoolgate/core'
 import { firstValueFrom } from 'rxjs'
-import type { Liveness, ProbedServer } from './livenessMonitor.js'
+import type { LivenessMonitor, ProbedServer } from './livenessMonitor.js'
 import type { Abandoned } from './sendEnd.js'
 import type { Send, SendResult } from './sendOnce.js'
 
@@ -15,7 +15,7 @@
   readonly send: Send
   readonly server: ProbedServer
   readonly timers: TimerService
-  readonly liveness: Liveness
+  readonly liveness: LivenessMonitor
   readonly agent: KeepAliveAgent
   /** Whether the server may take long to read a prompt before its first sign. */
   readonly mayBeReading: boolean
@@ -54,7 +54,7 @@
 /** Finds out why a server that gives no sign of life should not be waited for. */
 async function findDoubt(options: HeadWaitOptions): Promise<string | undefined> {
   const { liveness, agent, server, mayBeReading } = options
-  const isAlive = await liveness.checkAlive(server)
+  const isAlive = await liveness.checkReachable(server)
   if (!isAlive) return 'the backend server accepts no connections'
   agent.closeIdle(server.address)
   return mayBeReading ? undefined : 'the connection is silent'
--- a/packages/router/src/direct/livenessMonitor.ts
+++ b/packages/router/src/direct/livenessMonitor.ts
@@ -16,31 +16,31 @@
 /** Tries a connection; resolves to whether it came up. */
 export type ConnectionProbe = (address: string) => Promise<boolean>
 
-/** Options of {@link createLiveness}. */
-export interface LivenessOptions {
+/** Options of {@link createLivenessMonitor}. */
+export interface LivenessMonitorOptions {
   readonly timers: TimerService
   readonly probe: ConnectionProbe
   /** Whether a server is still registered; others are forgotten. */
   readonly isRegistered: (id: BackendServerId) => boolean
 }
 
-/** Knows the dead; see {@link createLiveness}. */
-export interface Liveness {
-  isDead(id: BackendServerId): boolean
+/** Knows the dead; see {@link createLivenessMonitor}. */
+export interface LivenessMonitor {
+  isUnreachable(id: BackendServerId): boolean
   /** Looks whether a server accepts connections; looks of one time are shared. */
-  checkAlive(server: ProbedServer): Promise<boolean>
+  checkReachable(server: ProbedServer): Promise<boolean>
   /** Notes that a connection to a server failed. */
-  recordDead(server: ProbedServer): void
+  recordUnreachable(server: ProbedServer): void
   close(): void
 }
 
 /** Longest wait for a connection, in ms: a hundred times the way between data halls. */
-export const CONNECT_MS = 300
+export const CONNECT_TIMEOUT_MS = 300
 /** Time between two looks at a dead server, in ms. */
-const PROBE_PERIOD_MS = 400
+const PROBE_INTERVAL_MS = 400
 
 /** Tries a connection to an address and closes it again. */
-export function openProbe(address: string): Promise<boolean> {
+export function checkConnection(address: string): Promise<boolean> {
   const [host, port] = address.split(':')
   return new Promise((resolve) => {
     const socket = connect({ host, port: Number(port) })
@@ -48,14 +48,14 @@
       resolve(isUp)
       socket.destroy()
     }
-    socket.setTimeout(CONNECT_MS, () => finish(false))
+    socket.setTimeout(CONNECT_TIMEOUT_MS, () => finish(false))
     socket.once('connect', () => finish(true))
     socket.once('error', () => finish(false))
   })
 }
 
 /** Creates a liveness that takes every server for alive. */
-export function createLiveness(options: LivenessOptions): Liveness {
+export function createLivenessMonitor(options: LivenessMonitorOptions): LivenessMonitor {
   const { timers, probe, isRegistered } = options
   const stopping = new AbortController()
   const dead = new Set<BackendServerId>()
@@ -63,7 +63,7 @@
 
   const watchDead = async (server: ProbedServer) => {
     while (!stopping.signal.aborted && isRegistered(server.id)) {
-      await waitFor(timers, PROBE_PERIOD_MS, stopping.signal)
+      await waitFor(timers, PROBE_INTERVAL_MS, stopping.signal)
       if (await probe(server.address)) break
     }
     dead.delete(server.id)
@@ -80,13 +80,13 @@
     return isAlive
   }
   return {
-    isDead: (id) => dead.has(id),
-    checkAlive: (server) => {
+    isUnreachable: (id) => dead.has(id),
+    checkReachable: (server) => {
       const running = looks.get(server.id) ?? look(server)
       looks.set(server.id, running)
       return running
     },
-    recordDead,
+    recordUnreachable: recordDead,
     close: () => stopping.abort(),
   }
 }
--- a/packages/router/src/direct/prefixCacheIndex.ts
+++ b/packages/router/src/direct/prefixCacheIndex.ts
@@ -9,20 +9,20 @@
 import type { PromptPart } from './protocols.js'
 
 /** Caches of all engines and stores. */
-export interface PartMemory {
+export interface PrefixCacheIndex {
   /** Counts the leading prompt tokens that are cached at a place, or will be once it has read them. */
-  countMatched(
+  countCachedTokens(
     server: BackendServerId,
     version: number,
     scope: string,
     parts: readonly PromptPart[],
   ): number
   /** Records that an engine reads a prompt that another router sent. */
-  record(placement: Placement): void
+  recordPlacement(placement: Placement): void
   /** Records that an engine reads a prompt that this router sent. */
-  recordOwn(placement: Placement): void
+  recordOwnPlacement(placement: Placement): void
   /** Records what an engine or store says that it keeps, or no longer keeps. */
-  confirm(placement: KeptPlacement): void
+  confirmPlacement(placement: KeptPlacement): void
   /** Takes the placements that were made here since the last call, for the other routers. */
   takePlacements(): Placement[]
 }
@@ -32,7 +32,7 @@
 /** Placements that are kept for the other routers; more than one poll brings. */
 const MAX_PLACEMENTS = 200
 /** Tokens of a part that may be missing: engines keep whole blocks, of 16 on those known. */
-export const BLOCK_TOKENS = 16
+export const CACHE_BLOCK_TOKENS = 16
 
 interface CachedPart {
   readonly tokens: number
@@ -55,14 +55,14 @@
   return [server, version, ...parts.flatMap(({ id, tokens }) => [hashPart(scope, id), tokens])]
 }
 
-/** Options of {@link createPartMemory}. */
-export interface PartMemoryOptions {
+/** Options of {@link createPrefixCacheIndex}. */
+export interface PrefixCacheIndexOptions {
   /** Finds the tokens that a place has room for beside running requests. */
   readonly findCacheTokens: (place: BackendServerId) => number
 }
 
 /** Creates an empty memory. */
-export function createPartMemory(options: PartMemoryOptions): PartMemory {
+export function createPrefixCacheIndex(options: PrefixCacheIndexOptions): PrefixCacheIndex {
   const caches = new LRUCache<BackendServerId, EngineCache>({ max: MAX_ENGINES })
   let placements: Placement[] = []
 
@@ -94,7 +94,7 @@
     }
   }
   return {
-    countMatched: (server, version, scope, parts) => {
+    countCachedTokens: (server, version, scope, parts) => {
       const cache = caches.get(server)
       if (cache?.version !== version) return 0
       let matched = 0
@@ -102,16 +102,16 @@
         const cached = cache.parts.get(hashPart(scope, id))
         if (!cached) break
         matched += Math.min(tokens, cached.tokens)
-        if (cached.tokens + BLOCK_TOKENS <= tokens) break
+        if (cached.tokens + CACHE_BLOCK_TOKENS <= tokens) break
       }
       return matched
     },
-    record: (placement) => apply(placement, false),
-    recordOwn: (placement) => {
+    recordPlacement: (placement) => apply(placement, false),
+    recordOwnPlacement: (placement) => {
       apply(placement, false)
       placements.push(placement)
     },
-    confirm: (placement) => apply(placement, true),
+    confirmPlacement: (placement) => apply(placement, true),
     takePlacements: () => {
       const taken = placements.slice(-MAX_PLACEMENTS)
       placements = []
--- a/packages/router/src/direct/prefixLocations.ts
+++ b/packages/router/src/direct/prefixLocations.ts
@@ -5,13 +5,13 @@
 import type { FleetView, RegisteredServer, StoreLife } from '@spoolgate/control'
 import { toBackendServerId, type BackendServerId } from '@spoolgate/core'
 import { formatStoreId, hashText, type EngineFacts } from '@spoolgate/routing'
-import type { PromptFacts, PromptPart } from './protocols.js'
-import { BLOCK_TOKENS, type PartMemory } from './prefixCacheIndex.js'
-import type { ServerBoard } from './serverStats.js'
+import type { PromptInfo, PromptPart } from './protocols.js'
+import { CACHE_BLOCK_TOKENS, type PrefixCacheIndex } from './prefixCacheIndex.js'
+import type { ServerStats } from './serverStats.js'
 import { LONG_PROMPT_TOKENS } from './enginePartition.js'
 
 /** An engine or store that keeps shared parts of a prompt. */
-interface Source {
+interface PrefixSource {
   readonly id: BackendServerId
   readonly address: string
   readonly hall: string
@@ -34,45 +34,49 @@
 }
 
 /** What is known of the whereabouts of a prompt's shared parts. */
-export interface PromptPlaces {
+export interface PrefixLocations {
   /** Engines that should take long prompts; undefined where the group is not divided. */
-  readonly forLong: ReadonlySet<BackendServerId> | undefined
+  readonly longPromptEngines: ReadonlySet<BackendServerId> | undefined
   /** Engine that should read what nobody is known to hold, by weights version. */
-  findHome(version: number): BackendServerId | undefined
+  findPreferredEngine(version: number): BackendServerId | undefined
   /** Store that should get the shared parts for a version; undefined where it has them, or is down. */
-  findStore(version: number): StorePlace | undefined
+  findSaveTarget(version: number): StoreTarget | undefined
   /** Most leading tokens that any engine or store is known to keep for a version. */
-  countAnywhere(version: number): number
+  countCachedAnywhere(version: number): number
   /**
    * Where an engine that has `matchedTokens` should fetch from. Where it seems to have everything,
    * that is a place to turn to if it has lost some in the meantime.
    */
-  findFetch(version: number, reader: RegisteredServer, matchedTokens: number): FetchPlan | undefined
+  findFetchPlan(
+    version: number,
+    reader: RegisteredServer,
+    matchedTokens: number,
+  ): FetchPlan | undefined
 }
 
-/** Input of {@link findPlaces}. */
-export interface PlacesInput {
+/** Input of {@link findPrefixLocations}. */
+export interface PrefixLocationsInput {
   readonly view: FleetView
-  readonly prompt: PromptFacts
+  readonly prompt: PromptInfo
   readonly engine: EngineFacts | undefined
   /** Engines of the group that answer. */
   readonly servers: readonly RegisteredServer[]
   /** Whether an engine takes requests; one that does not may still be fetched from. */
   readonly isOpen: (id: BackendServerId) => boolean
   readonly formatScope: (version: number) => string
-  readonly board: ServerBoard
-  readonly memory: PartMemory
+  readonly serverStats: ServerStats
+  readonly prefixCache: PrefixCacheIndex
   /** Engines that should take long prompts; undefined where the group is not divided. */
-  readonly forLong: ReadonlySet<BackendServerId> | undefined
+  readonly longPromptEngines: ReadonlySet<BackendServerId> | undefined
 }
 
 /** Counts the tokens of all parts but the last, which belongs to the request alone. */
-export function countSharedTokens(prompt: PromptFacts): number {
+export function countSharedTokens(prompt: PromptInfo): number {
   return prompt.parts.slice(0, -1).reduce((sum, { tokens }) => sum + tokens, 0)
 }
 
 /** A store as the memory of parts knows it: one life, one weights version. */
-export interface StorePlace {
+export interface StoreTarget {
   readonly id: BackendServerId
   readonly address: string
 }
@@ -80,7 +84,7 @@
 /** Shared parts of fewer tokens are read again sooner than a store is asked. */
 const MIN_STORED_TOKENS = 1_000
 /** Time of a fetch beside the bytes, in ms. */
-const FETCH_MS = 3
+const FETCH_LATENCY_MS = 3
 /** How much longer a fetch from another data hall takes. */
 const OTHER_HALL_FACTOR = 2
 const BITS_PER_BYTE = 8
@@ -96,14 +100,14 @@
 export function findVersion(
   server: RegisteredServer,
   model: string,
-  board: ServerBoard,
+  board: ServerStats,
 ): number | undefined {
   const registered = server.weights.find((held) => held.model === model)?.version
   return registered === undefined ? undefined : Math.max(registered, board.findVersion(server.id))
 }
 
 /** Finds the place that comes first for a key; the loss of one moves only its own keys. */
-function findFirst<Place>(
+function findByRendezvousHash<Place>(
   key: string,
   places: readonly Place[],
   findName: (place: Place) => string,
@@ -122,11 +126,11 @@
  * Finds the store for the shared prefixes of a prompt. Where there are several, each takes its share of all
  * prompts, so that together they hold more.
  */
-function findStoreLife(
+function chooseStore(
   stores: readonly StoreLife[],
   shared: readonly PromptPart[],
 ): StoreLife | undefined {
-  return findFirst(formatKey(shared), stores, ({ address }) => address)
+  return findByRendezvousHash(formatKey(shared), stores, ({ address }) => address)
 }
 
 function formatKey(parts: readonly PromptPart[]): string {
@@ -136,15 +140,15 @@
 /** Estimates how long moving tokens between two places takes, in ms. */
 function estimateFetchMs(
   tokens: number,
-  source: Source,
+  source: PrefixSource,
   reader: RegisteredServer,
   engine: EngineFacts | undefined,
 ): number {
   if (!engine || tokens <= 0) return 0
   const linkMbps = Math.min(engine.linkMbps, source.linkMbps)
-  if (!(linkMbps > 0)) return FETCH_MS
+  if (!(linkMbps > 0)) return FETCH_LATENCY_MS
   const moveMs = (tokens * engine.tokenBytes * BITS_PER_BYTE) / (linkMbps * BITS_PER_MS)
-  return FETCH_MS + moveMs * (source.hall === reader.hall ? 1 : OTHER_HALL_FACTOR)
+  return FETCH_LATENCY_MS + moveMs * (source.hall === reader.hall ? 1 : OTHER_HALL_FACTOR)
 }
 
 /** Works a value out once for each weights version: it is asked for at every engine of a choice. */
@@ -158,8 +162,16 @@
 }
 
 /** Finds where the shared parts of a prompt are. */
-export function findPlaces(input: PlacesInput): PromptPlaces {
-  const { view, prompt, board, memory, formatScope, forLong, engine } = input
+export function findPrefixLocations(input: PrefixLocationsInput): PrefixLocations {
+  const {
+    view,
+    prompt,
+    serverStats: board,
+    prefixCache: memory,
+    formatScope,
+    longPromptEngines: forLong,
+    engine,
+  } = input
   const shared = prompt.parts.slice(0, -1)
   const sharedTokens = countSharedTokens(prompt)
   const engines = input.servers
@@ -169,9 +181,9 @@
       return version === undefined ? [] : [{ server, version }]
     })
   const holders = engines
-    .map(({ server, version }): Source => {
+    .map(({ server, version }): PrefixSource => {
       const { id, address, hall } = server
-      const matchedTokens = memory.countMatched(id, version, formatScope(version), shared)
+      const matchedTokens = memory.countCachedTokens(id, version, formatScope(version), shared)
       return { id, address, hall, version, matchedTokens, linkMbps: engine?.linkMbps ?? 0 }
     })
     .filter(({ matchedTokens }) => matchedTokens > 0)
@@ -187,23 +199,23 @@
     let tokens = 0
     const levels = shared.findIndex((part) => (tokens += part.tokens) > best)
     const depth = levels === -1 ? shared.length : levels + 1
-    return findFirst(
+    return findByRendezvousHash(
       formatKey(shared.slice(0, depth)),
       engines.filter((other) => other.version === version && isHomeOpen(other)),
       ({ server }) => server.id,
     )
   })
   const isStored = sharedTokens >= MIN_STORED_TOKENS
-  const life = isStored ? findStoreLife(view.stores, shared) : undefined
+  const life = isStored ? chooseStore(view.stores, shared) : undefined
   const store = life && view.index.table.stores.find(({ address }) => address === life.address)
-  const findStoreSource = createVersionLookup((version): Source | undefined => {
+  const findStoreSource = createVersionLookup((version): PrefixSource | undefined => {
     if (!life || !store) return undefined
     const id = toBackendServerId(formatStoreId(life.address, life.epoch, version))
-    const matchedTokens = memory.countMatched(id, version, formatScope(version), shared)
+    const matchedTokens = memory.countCachedTokens(id, version, formatScope(version), shared)
     const { address, hall, linkMbps } = store
     return { id, address, hall, version, matchedTokens, linkMbps }
   })
-  const listSources = (version: number, reader: BackendServerId | undefined): Source[] => {
+  const listSources = (version: number, reader: BackendServerId | undefined): PrefixSource[] => {
     const others = holders.filter((held) => held.version === version && held.id !== reader)
     const stored = findStoreSource(version)
     return stored && stored.matchedTokens > 0 ? [...others, stored] : others
@@ -213,7 +225,7 @@
     const sources = listSources(version, reader.id)
     const most = Math.max(0, ...sources.map((source) => source.matchedTokens))
     const plans = sources
-      .filter((source) => source.matchedTokens > most - BLOCK_TOKENS)
+      .filter((source) => source.matchedTokens > most - CACHE_BLOCK_TOKENS)
       .map((source): FetchPlan => {
         const foundTokens = Math.max(source.matchedTokens, matchedTokens)
         const fetchMs = estimateFetchMs(foundTokens - matchedTokens, source, reader, engine)
@@ -222,23 +234,26 @@
     return plans.sort((a, b) => a.fetchMs - b.fetchMs).at(0)
   }
   return {
-    forLong,
-    findStore: (version) => {
+    longPromptEngines: forLong,
+    findSaveTarget: (version) => {
       const stored = findStoreSource(version)
       if (!stored) return undefined
-      return stored.matchedTokens + BLOCK_TOKENS * shared.length < sharedTokens ? stored : undefined
+      return stored.matchedTokens + CACHE_BLOCK_TOKENS * shared.length < sharedTokens
+        ? stored
+        : undefined
     },
-    findHome: (version) => (shared.length === 0 ? undefined : findHomeEngine(version)?.server.id),
-    countAnywhere: createVersionLookup((version) =>
+    findPreferredEngine: (version) =>
+      shared.length === 0 ? undefined : findHomeEngine(version)?.server.id,
+    countCachedAnywhere: createVersionLookup((version) =>
       Math.max(0, ...listSources(version, undefined).map((source) => source.matchedTokens)),
     ),
-    findFetch: (version, reader, matchedTokens) => {
+    findFetchPlan: (version, reader, matchedTokens) => {
       if (shared.length === 0) return undefined
       const best = findBestSource(version, reader, matchedTokens)
       if (best || matchedTokens > 0) return best
       const home = findHomeEngine(version)
       if (!home || home.server.id === reader.id) return undefined
-      return { address: home.server.address, foundTokens: 0, fetchMs: FETCH_MS }
+      return { address: home.server.address, foundTokens: 0, fetchMs: FETCH_LATENCY_MS }
     },
   }
 }
--- a/packages/router/src/direct/protocols.ts
+++ b/packages/router/src/direct/protocols.ts
@@ -16,7 +16,7 @@
 }
 
 /** What a generation request says of itself. */
-export interface PromptFacts {
+export interface PromptInfo {
   readonly model: string
   /** Parts in order; the last belongs to the request itself. */
   readonly parts: readonly PromptPart[]
@@ -38,7 +38,7 @@
   /** Tokens in and the most that come out, as the caller counts them; undefined where it does not. */
   readonly tokenCount: number | 'unreadable' | undefined
   /** Undefined for requests to plain services. */
-  readonly prompt: PromptFacts | undefined
+  readonly prompt: PromptInfo | undefined
   /** Event after which the caller wants a stream to go on. */
   readonly lastEventId: string | undefined
   /** Fields that are passed on to the backend server. */
@@ -46,7 +46,7 @@
 }
 
 /** How callers speak. */
-export interface CallerDialect {
+export interface CallerProtocol {
   /**
    * Decodes the head of a request.
    * @throws SpoolgateError `invalidRequest`.
@@ -57,7 +57,7 @@
 }
 
 /** Everything that a send to a backend server carries beside the caller's own fields. */
-export interface DirectSend {
+export interface BackendRequest {
   readonly call: DirectCall
   readonly server: RegisteredServer
   readonly team: TeamId | undefined
@@ -92,11 +92,11 @@
   | { readonly kind: 'unreadable'; readonly text: string }
 
 /** What the head of a backend server's answer says. */
-export interface AnswerHead {
+export interface ResponseHead {
   /** Whether the server promises that it did not run the request. */
-  readonly isNotRun: boolean
+  readonly isNotExecuted: boolean
   /** Whether the answer is the server's own and belongs to this request. */
-  readonly isGenuine: boolean
+  readonly isAuthentic: boolean
   /** Whether another incarnation answered, or one with other weights. */
   readonly isOtherServer: boolean
   /** Undefined where the server does not ask for rest. */
@@ -110,11 +110,11 @@
 }
 
 /** How backend servers are spoken to. */
-export interface BackendDialect {
+export interface BackendProtocol {
   /** Encodes the header of a send. */
-  encodeHeaders(send: DirectSend): HeaderList
+  encodeHeaders(send: BackendRequest): HeaderList
   /** Decodes the head of an answer. */
-  decodeHead(message: IncomingMessage, call: DirectCall): AnswerHead
+  decodeHead(message: IncomingMessage, call: DirectCall): ResponseHead
   /** Lists the fields of an answer that are passed on to the caller. */
   listAnswerHeaders(message: IncomingMessage): HeaderList
 }
--- a/packages/router/src/direct/responseSignals.ts
+++ b/packages/router/src/direct/responseSignals.ts
@@ -2,16 +2,16 @@
 import { MAX_BACKOFF_MS } from '@spoolgate/routing'
 import type { RegisteredServer, ServerLoad, ServerLoads } from '@spoolgate/control'
 import type { BackendServerId } from '@spoolgate/core'
-import type { AnswerHead, DirectCall, LimitSignal, BackoffSignal } from './protocols.js'
-import type { DirectParts } from './directContext.js'
+import type { ResponseHead, DirectCall, LimitSignal, BackoffSignal } from './protocols.js'
+import type { DirectContext } from './directContext.js'
 
-type SignalParts = Pick<
-  DirectParts,
+type SignalContext = Pick<
+  DirectContext,
   'backpressure' | 'limits' | 'rejectedInputs' | 'logger' | 'timers'
 >
 
 /** The head of an answer, with the instant at which its request was sent, in ms. */
-type AnswerSignals = AnswerHead & { readonly sentAt: number }
+type ResponseSignals = ResponseHead & { readonly sentAt: number }
 
 const NO_LOAD: ServerLoad = { calls: 0, promptTokens: 0 }
 
@@ -23,7 +23,7 @@
 }
 
 function recordBackoff(
-  parts: SignalParts,
+  parts: SignalContext,
   call: DirectCall,
   { id }: RegisteredServer,
   backoff: BackoffSignal,
@@ -37,7 +37,7 @@
 }
 
 function recordLimit(
-  { limits, rejectedInputs, logger, timers }: SignalParts,
+  { limits, rejectedInputs, logger, timers }: SignalContext,
   call: DirectCall,
   { id }: RegisteredServer,
   limit: LimitSignal,
@@ -66,11 +66,11 @@
 }
 
 /** Takes note of what the head of an answer says of its server, before the next choice is made. */
-export function recordAnswerSignals(
-  parts: SignalParts,
+export function recordResponseSignals(
+  parts: SignalContext,
   call: DirectCall,
   server: RegisteredServer,
-  { backoff, limit, isLeaving, sentAt }: AnswerSignals,
+  { backoff, limit, isLeaving, sentAt }: ResponseSignals,
 ): void {
   const { backpressure, logger, timers } = parts
   if (backoff) recordBackoff(parts, call, server, backoff)
--- a/packages/router/src/direct/retryBudget.ts
+++ b/packages/router/src/direct/retryBudget.ts
@@ -14,24 +14,24 @@
   readonly windowMs: number
 }
 
-/** Options of {@link createRetryShare}. */
-export interface RetryShareOptions {
+/** Options of {@link createRetryBudget}. */
+export interface RetryBudgetOptions {
   readonly timers: TimerService
   readonly bounds: RetryBounds
   /** Routers that share the budget. */
   readonly countRouters: () => number
 }
 
-/** The share; see {@link createRetryShare}. */
-export interface RetryShare {
+/** The share; see {@link createRetryBudget}. */
+export interface RetryBudget {
   /** Notes the first send of a request to a group. */
-  recordFirst(group: string): void
+  recordFirstSend(group: string): void
   /** Takes one repeated send; false when the share is spent. */
-  take(group: string): boolean
+  takeRetry(group: string): boolean
 }
 
 /** Part of the budget that routers spend; the rest covers what they do not know of each other. */
-const SPENT_PART = 0.7
+const USABLE_RATIO = 0.7
 
 interface Counts {
   firsts: number[]
@@ -39,7 +39,7 @@
 }
 
 /** Creates a share that is unspent. */
-export function createRetryShare(options: RetryShareOptions): RetryShare {
+export function createRetryBudget(options: RetryBudgetOptions): RetryBudget {
   const { timers, bounds } = options
   const groups = new Map<string, Counts>()
   const findCounts = (group: string): Counts => {
@@ -51,15 +51,15 @@
     return counts
   }
   return {
-    recordFirst: (group) => {
+    recordFirstSend: (group) => {
       const known = groups.get(group)
       if (known) known.firsts.push(timers.now())
       else findCounts(group).firsts.push(timers.now())
     },
-    take: (group) => {
+    takeRetry: (group) => {
       const { firsts, repeats } = findCounts(group)
       const slack = bounds.slack / Math.max(1, options.countRouters())
-      const allowed = SPENT_PART * (bounds.ratio * firsts.length + slack)
+      const allowed = USABLE_RATIO * (bounds.ratio * firsts.length + slack)
       if (repeats.length + 1 > allowed) return false
       repeats.push(timers.now())
       return true
--- a/packages/router/src/direct/sendAdmission.ts
+++ b/packages/router/src/direct/sendAdmission.ts
@@ -2,13 +2,13 @@
 import type { RequestFingerprint, SpoolgateError } from '@spoolgate/core'
 import type { CallPlan } from './callPlan.js'
 import type { Candidate } from './serverRanking.js'
-import type { DirectParts } from './directContext.js'
+import type { DirectContext } from './directContext.js'
 import { takeQuota } from './sendQuota.js'
 import { createQuarantineError, createUnavailableError } from './errorResponses.js'
-import { chooseSend, type SendsSoFar } from './serverSelection.js'
+import { chooseServer, type SendHistory } from './serverSelection.js'
 
 /** What has become of a request so far. */
-export interface RequestState extends SendsSoFar {
+export interface RequestState extends SendHistory {
   readonly fingerprint: RequestFingerprint
   /** Whether a server may have run the request. */
   readonly mayHaveRun: boolean
@@ -32,7 +32,7 @@
 
 /** Admits the next send of a request, or says why it is refused. */
 export async function admitSend(
-  parts: DirectParts,
+  parts: DirectContext,
   plan: CallPlan,
   state: RequestState,
   log: (event: string, fields: Record<string, unknown>) => void,
@@ -58,7 +58,7 @@
     quota.refund()
     held.returnTrial()
   }
-  const choice = chooseSend(parts, plan, state, log)
+  const choice = chooseServer(parts, plan, state, log)
   if (choice.kind === 'server') {
     return { kind: 'admitted', candidate: choice.candidate, round: held.round, giveBack }
   }
--- a/packages/router/src/direct/sendQuota.ts
+++ b/packages/router/src/direct/sendQuota.ts
@@ -3,7 +3,7 @@
 import type { TeamQuota } from '@spoolgate/routing'
 import type { CallPlan } from './callPlan.js'
 import type { DirectCall } from './protocols.js'
-import type { DirectParts } from './directContext.js'
+import type { DirectContext } from './directContext.js'
 import { drawRetryAfterSeconds } from './errorResponses.js'
 
 /** A rejection by the quota, with the figures behind it as log fields. */
@@ -22,7 +22,7 @@
 
 const UNLIMITED: QuotaDecision = { refusal: undefined, refund: () => {} }
 
-function measureCost(parts: DirectParts, { unit, uncountedTokens }: TeamQuota, call: DirectCall) {
+function measureCost(parts: DirectContext, { unit, uncountedTokens }: TeamQuota, call: DirectCall) {
   if (unit === 'requests') return 1
   const { tokenCount } = call
   if (tokenCount !== 'unreadable') return tokenCount ?? uncountedTokens
@@ -32,7 +32,7 @@
 }
 
 /** Charges one send of a request to the quota of its team, or rejects it. */
-export async function takeQuota(parts: DirectParts, plan: CallPlan): Promise<QuotaDecision> {
+export async function takeQuota(parts: DirectContext, plan: CallPlan): Promise<QuotaDecision> {
   const { team, call } = plan
   const quota = team?.quota
   if (!team || !quota) return UNLIMITED
--- a/packages/router/src/direct/sendRecord.ts
+++ b/packages/router/src/direct/sendRecord.ts
@@ -1,8 +1,8 @@
 /** What a router notes of a choice and of a send: for its log, and for later choices of all routers. */
 import { formatCallScope, type CallPlan } from './callPlan.js'
-import { recordWork, type Candidate } from './serverRanking.js'
-import type { DirectSend } from './protocols.js'
-import type { DirectParts } from './directContext.js'
+import { recordEngineWork, type Candidate } from './serverRanking.js'
+import type { BackendRequest } from './protocols.js'
+import type { DirectContext } from './directContext.js'
 import { buildPlacement } from './prefixCacheIndex.js'
 
 /** Formats a choice with what decided it, and the server that came second. */
@@ -16,7 +16,7 @@
     server: best.server.id,
     cost: best.cost,
     matchedTokens: best.matchedTokens,
-    unreadTokens: best.unreadTokens,
+    unreadTokens: best.uncachedTokens,
     promptTokens: prompt?.promptTokens,
     version: best.version,
     team: plan.team?.id,
@@ -31,7 +31,7 @@
 export function buildSend(
   { call, team }: CallPlan,
   { server, version, fetchFrom, saveTo }: Candidate,
-): Omit<DirectSend, 'bodyBytes' | 'leftMs' | 'priority' | 'lastEventId'> {
+): Omit<BackendRequest, 'bodyBytes' | 'leftMs' | 'priority' | 'lastEventId'> {
   return {
     call,
     server,
@@ -44,16 +44,16 @@
 }
 
 /** Records the work that a prompt makes for its engine, and where its parts will be. */
-export function recordPrompt(parts: DirectParts, plan: CallPlan, candidate: Candidate): void {
+export function recordPrompt(parts: DirectContext, plan: CallPlan, candidate: Candidate): void {
   const { prompt } = plan.call
   const { server, version, saveTo, matchedTokens } = candidate
   if (!prompt || version === undefined) return
   parts.instruments.promptTokens.add(prompt.promptTokens)
   parts.instruments.matchedTokens.add(matchedTokens)
-  recordWork(parts, plan.group.name, prompt, matchedTokens)
+  recordEngineWork(parts, plan.group.name, prompt, matchedTokens)
   const scope = formatCallScope(plan.team, version)
-  parts.memory.recordOwn(buildPlacement(server.id, version, scope, prompt.parts))
+  parts.prefixCache.recordOwnPlacement(buildPlacement(server.id, version, scope, prompt.parts))
   if (!saveTo) return
   const shared = prompt.parts.slice(0, -1)
-  parts.memory.recordOwn(buildPlacement(saveTo.id, version, scope, shared))
+  parts.prefixCache.recordOwnPlacement(buildPlacement(saveTo.id, version, scope, shared))
 }
--- a/packages/router/src/direct/serveCall.ts
+++ b/packages/router/src/direct/serveCall.ts
@@ -9,12 +9,12 @@
 import { judgeHead } from './answerHead.js'
 import { createStreamRelay, isCallerGone, type StreamRelay } from './answerRelay.js'
 import { createAnswerTimes, type AnswerTimes } from './answerTimes.js'
-import { isProofFresh, rankSend, type CallPlan } from './callPlan.js'
+import { isProofFresh, resolveSendPriority, type CallPlan } from './callPlan.js'
 import type { Candidate } from './serverRanking.js'
 import type { HeaderList } from './protocols.js'
-import type { DirectParts } from './directContext.js'
+import type { DirectContext } from './directContext.js'
 import { waitForHead } from './headWait.js'
-import { CONNECT_MS } from './livenessMonitor.js'
+import { CONNECT_TIMEOUT_MS } from './livenessMonitor.js'
 import { listRefusalFields } from './gracefulShutdown.js'
 import {
   createUnavailableError,
@@ -31,18 +31,18 @@
 } from './sendEnd.js'
 import { hashRequest } from './requestFingerprint.js'
 import { admitSend, type AdmittedSend, type RequestState } from './sendAdmission.js'
-import { findReturnSeconds } from './serverSelection.js'
+import { findGroupRetryAfterSeconds } from './serverSelection.js'
 import { buildSend, recordPrompt } from './sendRecord.js'
 import { startSend, type Send } from './sendOnce.js'
 import { watchStall } from './restartDetector.js'
-import type { CallTicket } from './serverStats.js'
+import type { TrackedCall } from './serverStats.js'
 
 /** Ends of sends that no server began. */
 const NEVER_BEGUN: ReadonlySet<SendEnd['kind']> = new Set(['notSent', 'forbidden', 'notRun'])
 
 /** Serves one planned request; resolves once its final answer was given. */
 export async function serveCall(
-  parts: DirectParts,
+  parts: DirectContext,
   plan: CallPlan,
   body: Buffer,
   response: ServerResponse,
@@ -61,7 +61,7 @@
   private current: Send | undefined
   private timeout: Subscription | undefined
   sends = 0
-  private ticket: CallTicket | undefined
+  private ticket: TrackedCall | undefined
   /** When the last part of the answer came, in ms of the monotonic clock. */
   private lastSignAt = -Infinity
   /** When the last send began, in ms of the monotonic clock. */
@@ -73,7 +73,7 @@
   private recordLost: () => void = () => {}
 
   constructor(
-    private readonly parts: DirectParts,
+    private readonly parts: DirectContext,
     private readonly plan: CallPlan,
     private readonly body: Buffer,
     private readonly response: ServerResponse,
@@ -107,8 +107,8 @@
   }
 
   private recordPart(): void {
-    this.ticket?.recordFirstPart()
-    this.ticket?.recordSign()
+    this.ticket?.recordFirstChunk()
+    this.ticket?.recordActivity()
     this.lastSignAt = this.parts.timers.now()
     this.times.recordFirstPart()
   }
@@ -140,7 +140,7 @@
   private giveUpAtDeadline(): void {
     if (this.isOver) return
     // A crashed server accepts no connections; a slow one does.
-    if (this.ticket?.isUnanswered()) this.recordLost()
+    if (this.ticket?.hasNoServerActivity()) this.recordLost()
     if (this.relay.hasBegun()) {
       this.stop('timedOutInStream')
       this.response.destroy()
@@ -222,18 +222,18 @@
   private rankNow({ expectedMs }: Candidate): number {
     const { plan, parts, relay } = this
     if (relay.hasBegun()) return plan.priority
-    return rankSend(plan, parts.timers.now() - plan.arrivedAt + expectedMs)
+    return resolveSendPriority(plan, parts.timers.now() - plan.arrivedAt + expectedMs)
   }
 
   private recordSend(candidate: Candidate): void {
     const { parts, plan } = this
-    const { server, unreadTokens } = candidate
-    this.ticket = parts.board.open(server.id, unreadTokens)
+    const { server, uncachedTokens: unreadTokens } = candidate
+    this.ticket = parts.serverStats.startCall(server.id, unreadTokens)
     this.sentAt = parts.timers.now()
     parts.backpressure.recordSend(server.id, this.sentAt)
     parts.limits.recordSend(server.id, this.sentAt)
     this.times.recordSend(unreadTokens)
-    if (this.sends === 0) parts.retries.recordFirst(plan.group.name)
+    if (this.sends === 0) parts.retryBudget.recordFirstSend(plan.group.name)
     this.sends += 1
     parts.instruments.sends.add(1, { group: plan.group.name })
     recordPrompt(parts, plan, candidate)
@@ -272,7 +272,7 @@
       target: plan.call.target,
       buildHeaders: () => this.buildHeaders(candidate),
       body: this.body,
-      connectMs: CONNECT_MS,
+      connectMs: CONNECT_TIMEOUT_MS,
     })
     this.current = send
     const result = await waitForHead({
@@ -282,13 +282,13 @@
       liveness: parts.liveness,
       agent: parts.agent,
       mayBeReading: plan.call.prompt !== undefined,
-      isUnanswered: () => !this.isOver && this.ticket?.isUnanswered() === true,
+      isUnanswered: () => !this.isOver && this.ticket?.hasNoServerActivity() === true,
       takeRepeat: () => this.mayRepeat(),
     })
     if (result.kind === 'notSent' || result.kind === 'forbidden') this.mayHaveRun = couldHaveRun
     if (result.kind !== 'head') return result
     const { message } = result
-    this.ticket?.recordSign()
+    this.ticket?.recordActivity()
     const end = judgeHead(parts, plan, candidate, { message, sentAt: this.sentAt })
     if (end?.kind === 'notRun') this.mayHaveRun = couldHaveRun
     return end ?? this.relayAnswer(message)
@@ -314,7 +314,7 @@
         this.stop('answered')
         return true
       case 'notSent':
-        this.parts.liveness.recordDead(candidate.server)
+        this.parts.liveness.recordUnreachable(candidate.server)
         this.excluded.add(candidate.server.id)
         return false
       case 'abandoned':
@@ -337,8 +337,10 @@
     // A server that only has newer weights than presumed takes the request under their version.
     const isCorrected = (end.version ?? 0) > (version ?? Infinity)
     if (!isCorrected) this.excluded.add(server.id)
-    if (this.parts.retries.take(this.plan.group.name)) return false
-    this.refuse(createUnavailableError(this.mayHaveRun, findReturnSeconds(this.parts, this.plan)))
+    if (this.parts.retryBudget.takeRetry(this.plan.group.name)) return false
+    this.refuse(
+      createUnavailableError(this.mayHaveRun, findGroupRetryAfterSeconds(this.parts, this.plan)),
+    )
     return true
   }
 
@@ -374,6 +376,6 @@
     const { route, group } = this.plan
     if (!this.isRepeatable()) return false
     if (this.sentTo.size >= route.maxServers) return false
-    return this.parts.retries.take(group.name)
+    return this.parts.retryBudget.takeRetry(group.name)
   }
 }
--- a/packages/router/src/direct/serverRanking.ts
+++ b/packages/router/src/direct/serverRanking.ts
@@ -6,26 +6,26 @@
 import type { FleetView, RegisteredServer, ServerLoad } from '@spoolgate/control'
 import type { BackendServerId, RandomSource } from '@spoolgate/core'
 import type { ServerGroup } from '@spoolgate/routing'
-import type { PromptFacts } from './protocols.js'
-import type { Liveness } from './livenessMonitor.js'
-import type { PartMemory } from './prefixCacheIndex.js'
-import type { ServerBoard } from './serverStats.js'
+import type { PromptInfo } from './protocols.js'
+import type { LivenessMonitor } from './livenessMonitor.js'
+import type { PrefixCacheIndex } from './prefixCacheIndex.js'
+import type { ServerStats } from './serverStats.js'
 import { isOpenTo, judgeServer, type VerdictParts } from './serverVerdict.js'
-import { LONG_PROMPT_TOKENS, type PromptKind, type WorkSplit } from './enginePartition.js'
-import type { WorkTimes } from './serviceTimes.js'
+import { LONG_PROMPT_TOKENS, type PromptLength, type EnginePartition } from './enginePartition.js'
+import type { ServiceTimes } from './serviceTimes.js'
 import {
   countSharedTokens,
-  findPlaces,
+  findPrefixLocations,
   findVersion,
-  type PromptPlaces,
-  type StorePlace,
+  type PrefixLocations,
+  type StoreTarget,
 } from './prefixLocations.js'
 
 /** What a choice is made for. */
-export interface ChoiceInput {
+export interface RankingInput {
   readonly view: FleetView
   readonly group: ServerGroup
-  readonly prompt: PromptFacts | undefined
+  readonly prompt: PromptInfo | undefined
   /** Formats what cached parts must share, for a weights version. */
   readonly formatScope: (version: number) => string
   /** Servers that this request must not be sent to again. */
@@ -44,40 +44,40 @@
   readonly cost: number
   readonly matchedTokens: number
   /** Prompt tokens that it has to read itself: neither cached there nor fetched from elsewhere. */
-  readonly unreadTokens: number
+  readonly uncachedTokens: number
   /** Address of another server to fetch shared parts of the prompt from. */
   readonly fetchFrom: string | undefined
   /** Store that should get the shared parts of the prompt. */
-  readonly saveTo: StorePlace | undefined
+  readonly saveTo: StoreTarget | undefined
   /** Version of the weights that it holds; undefined for plain services. */
   readonly version: number | undefined
   /** Whether all routers prefer it for what nobody is known to hold. */
-  readonly isHome: boolean
+  readonly isPreferred: boolean
 }
 
 /** Parts that a choice reads. */
-export interface ChoiceParts extends VerdictParts {
-  readonly board: ServerBoard
-  readonly memory: PartMemory
-  readonly liveness: Liveness
+export interface RankingContext extends VerdictParts {
+  readonly serverStats: ServerStats
+  readonly prefixCache: PrefixCacheIndex
+  readonly liveness: LivenessMonitor
   readonly random: RandomSource
-  readonly split: WorkSplit
-  readonly times: WorkTimes
+  readonly enginePartition: EnginePartition
+  readonly serviceTimes: ServiceTimes
 }
 
 /** Time that each running request adds to the first token of another, in ms. */
-const RUNNING_MS = 0.4
+const RUNNING_REQUEST_MS = 0.4
 /**
  * What reading a prompt costs the requests that run beside it, as a part of the reading time for
  * each: long prompts then gather where few answers are being generated.
  */
-const DISTURBANCE_RATIO = 0.1
+const PREFILL_INTERFERENCE_RATIO = 0.1
 /** Cost of a server in another data hall, in ms: the round trip and the price of the bytes. */
 const OTHER_HALL_MS = 30
 /** Cost of weights that are older than the wanted ones: a fifth of what the answer is worth. */
-const OLD_WEIGHTS_MS = 100
+const OUTDATED_WEIGHTS_MS = 100
 /** Time after which weights count as old once newer ones are wanted, in ms; they do from 1.5 s on. */
-const OLD_AFTER_MS = 1_300
+const OUTDATED_AFTER_MS = 1_300
 /** Cost of a server that loads weights, and least cost of one that cannot serve now. */
 export const LOADING_MS = 5_000
 /**
@@ -89,9 +89,9 @@
  * Lower bound on the cost of an idle server while others of its group shed load, in ms: a server with calls in flight is
  * known to accept work. Up to twice that is drawn, so that routers do not all try the same one.
  */
-const UNPROVEN_MS = 100
+const IDLE_WHILE_SHEDDING_MS = 100
 /** Cost of a server that accepts no connections: it is used when there is no other. */
-const DEAD_MS = 10_000
+const UNREACHABLE_MS = 10_000
 /** Cost of a server that fails every request, in ms; in proportion for one that fails some. */
 const FAILING_MS = 400
 /** Cost of a long prompt among short ones: it holds up the answers that are being generated. */
@@ -99,42 +99,42 @@
 /** Cost of a short prompt among long ones: each of its tokens waits for pieces of prompts. */
 const SHORT_AMONG_LONG_MS = 120
 /** Time of an engine for each token of an answer, among others, in ms. */
-const TOKEN_MS = 0.3
+const GENERATED_TOKEN_MS = 0.3
 /** Cost of a server that missed heartbeats; it may be cut off from control only. */
-const SILENT_MS = 400
+const MISSED_HEARTBEATS_MS = 400
 /**
  * Cost of each shared token that is read again though it is kept elsewhere, beside the time it takes,
  * in ms: reading 6,000 again is worth as much as an answer that comes too late.
  */
-const REREAD_MS_PER_TOKEN = 0.03
+const RECOMPUTE_MS_PER_TOKEN = 0.03
 /**
  * Advantage of the server that all routers prefer for parts that nobody is known to hold, in ms,
  * beside the time to read them: read elsewhere, they would be read again by the next router.
  */
-const HOME_BONUS_MS = 15
+const PREFERRED_BONUS_MS = 15
 /** Part of the servers that is drawn for one request, and the least number. */
-const DRAWN_RATIO = 0.34
-const MIN_DRAWN = 2
+const SAMPLED_RATIO = 0.34
+const MIN_SAMPLED = 2
 
 /** Part of the shared prompt that makes a server worth considering beside those drawn. */
 const HOLDER_RATIO = 0.6
 
 /** Candidate fields of a plain service. */
-const PLAIN_FACTS = {
+const PLAIN_SERVICE_FIELDS = {
   matchedTokens: 0,
-  unreadTokens: 0,
+  uncachedTokens: 0,
   version: undefined,
   fetchFrom: undefined,
   saveTo: undefined,
-  isHome: false,
+  isPreferred: false,
 } as const
 
-function addUpLoad(a: ServerLoad, b: ServerLoad | undefined): ServerLoad {
+function addLoad(a: ServerLoad, b: ServerLoad | undefined): ServerLoad {
   return b ? { calls: a.calls + b.calls, promptTokens: a.promptTokens + b.promptTokens } : a
 }
 
 /** Says what kind of work a prompt is. */
-function findKind(prompt: PromptFacts): PromptKind {
+function findPromptLength(prompt: PromptInfo): PromptLength {
   return prompt.promptTokens >= LONG_PROMPT_TOKENS ? 'long' : 'short'
 }
 
@@ -142,66 +142,80 @@
  * Notes the work of a request that is sent to a candidate. What it fetches counts as if it were read:
  * it takes as much room, and engines for long prompts are short of room before they are of time.
  */
-export function recordWork(
-  { split, times }: Pick<ChoiceParts, 'split' | 'times'>,
+export function recordEngineWork(
+  { enginePartition, serviceTimes }: Pick<RankingContext, 'enginePartition' | 'serviceTimes'>,
   group: string,
-  prompt: PromptFacts,
+  prompt: PromptInfo,
   matchedTokens: number,
 ): void {
-  const readMs = (prompt.promptTokens - matchedTokens) / times.findTokensPerMs(group)
-  split.record(group, findKind(prompt), readMs + prompt.maxTokens * TOKEN_MS)
+  const readMs = (prompt.promptTokens - matchedTokens) / serviceTimes.findPrefillTokensPerMs(group)
+  enginePartition.recordWork(
+    group,
+    findPromptLength(prompt),
+    readMs + prompt.maxTokens * GENERATED_TOKEN_MS,
+  )
 }
 
 /** What it costs that a server is meant for prompts of the other kind. */
-function countSidePenalty(
-  { forLong }: PromptPlaces,
-  prompt: PromptFacts,
+function findPartitionPenalty(
+  { longPromptEngines: forLong }: PrefixLocations,
+  prompt: PromptInfo,
   server: RegisteredServer,
 ): number {
   if (!forLong) return 0
   const isForLong = forLong.has(server.id)
-  if (findKind(prompt) === 'long') return isForLong ? 0 : LONG_AMONG_SHORT_MS
+  if (findPromptLength(prompt) === 'long') return isForLong ? 0 : LONG_AMONG_SHORT_MS
   return isForLong ? SHORT_AMONG_LONG_MS : 0
 }
 
-function isOld({ view, now }: ChoiceInput, model: string, version: number): boolean {
+function hasOutdatedWeights({ view, now }: RankingInput, model: string, version: number): boolean {
   const isOlder = version < (view.weights[model] ?? 0)
-  return isOlder && now - (view.weightsSince[model] ?? -Infinity) > OLD_AFTER_MS
+  return isOlder && now - (view.weightsSince[model] ?? -Infinity) > OUTDATED_AFTER_MS
 }
 
 function estimateEngineCost(
-  parts: ChoiceParts,
-  input: ChoiceInput,
-  prompt: PromptFacts,
-  places: PromptPlaces,
+  parts: RankingContext,
+  input: RankingInput,
+  prompt: PromptInfo,
+  places: PrefixLocations,
   server: RegisteredServer,
   load: ServerLoad,
   tokensPerMs: number,
 ): Omit<Candidate, 'server'> {
-  const version = findVersion(server, prompt.model, parts.board)
-  if (version === undefined) return { ...PLAIN_FACTS, expectedMs: DEAD_MS, cost: DEAD_MS }
+  const version = findVersion(server, prompt.model, parts.serverStats)
+  if (version === undefined)
+    return { ...PLAIN_SERVICE_FIELDS, expectedMs: UNREACHABLE_MS, cost: UNREACHABLE_MS }
   const scope = input.formatScope(version)
-  const matchedTokens = parts.memory.countMatched(server.id, version, scope, prompt.parts)
-  const fetch = places.findFetch(version, server, matchedTokens)
+  const matchedTokens = parts.prefixCache.countCachedTokens(server.id, version, scope, prompt.parts)
+  const fetch = places.findFetchPlan(version, server, matchedTokens)
   const foundTokens = Math.max(matchedTokens, fetch?.foundTokens ?? 0)
   const unreadTokens = prompt.promptTokens - foundTokens
   const readMs = unreadTokens / tokensPerMs
-  const queueMs = load.promptTokens / tokensPerMs + load.calls * RUNNING_MS
-  const disturbanceMs = readMs * load.calls * DISTURBANCE_RATIO
+  const queueMs = load.promptTokens / tokensPerMs + load.calls * RUNNING_REQUEST_MS
+  const disturbanceMs = readMs * load.calls * PREFILL_INTERFERENCE_RATIO
   const expectedMs = queueMs + readMs + disturbanceMs + (fetch?.fetchMs ?? 0)
   let cost = expectedMs
-  const rereadTokens = Math.max(0, places.countAnywhere(version) - foundTokens)
-  cost += rereadTokens * REREAD_MS_PER_TOKEN
-  if (isOld(input, prompt.model, version)) cost += OLD_WEIGHTS_MS
-  const isHome = server.id === places.findHome(version)
+  const rereadTokens = Math.max(0, places.countCachedAnywhere(version) - foundTokens)
+  cost += rereadTokens * RECOMPUTE_MS_PER_TOKEN
+  if (hasOutdatedWeights(input, prompt.model, version)) cost += OUTDATED_WEIGHTS_MS
+  const isHome = server.id === places.findPreferredEngine(version)
   if (isHome) {
     const unknownTokens = Math.max(0, countSharedTokens(prompt) - foundTokens)
-    cost -= HOME_BONUS_MS + unknownTokens / tokensPerMs
+    cost -= PREFERRED_BONUS_MS + unknownTokens / tokensPerMs
   }
-  cost += countSidePenalty(places, prompt, server)
-  const saveTo = places.findStore(version)
+  cost += findPartitionPenalty(places, prompt, server)
+  const saveTo = places.findSaveTarget(version)
   const fetchFrom = fetch?.address
-  return { expectedMs, cost, matchedTokens, unreadTokens, version, fetchFrom, saveTo, isHome }
+  return {
+    expectedMs,
+    cost,
+    matchedTokens,
+    uncachedTokens: unreadTokens,
+    version,
+    fetchFrom,
+    saveTo,
+    isPreferred: isHome,
+  }
 }
 
 function isShedding({ loads }: FleetView, id: BackendServerId): boolean {
@@ -209,29 +223,33 @@
 }
 
 /** What a server costs whatever the request. */
-function countPenalty(parts: ChoiceParts, input: ChoiceInput, server: RegisteredServer): number {
+function estimateServerPenalty(
+  parts: RankingContext,
+  input: RankingInput,
+  server: RegisteredServer,
+): number {
   const { view, hall } = input
   let cost = 0
   if (server.hall !== hall) cost += OTHER_HALL_MS
-  if (view.silent.has(server.id)) cost += SILENT_MS
+  if (view.silent.has(server.id)) cost += MISSED_HEARTBEATS_MS
   if (view.loading.has(server.id)) cost += LOADING_MS
   if (isShedding(view, server.id)) cost += SHEDDING_MS
-  if (parts.liveness.isDead(server.id)) cost += DEAD_MS
-  cost += parts.board.findFailureRate(server.id) * FAILING_MS
+  if (parts.liveness.isUnreachable(server.id)) cost += UNREACHABLE_MS
+  cost += parts.serverStats.findFailureRate(server.id) * FAILING_MS
   return cost
 }
 
 /** Moves the candidates that were drawn for this request, or hold its prompt, before the others. */
-function drawCandidates(
+function rankSampledFirst(
   ranked: readonly Candidate[],
   sharedTokens: number,
   random: RandomSource,
 ): Candidate[] {
-  const drawn = Math.max(MIN_DRAWN, Math.ceil(ranked.length * DRAWN_RATIO))
+  const drawn = Math.max(MIN_SAMPLED, Math.ceil(ranked.length * SAMPLED_RATIO))
   const isHolder = ({ matchedTokens }: Candidate) =>
     matchedTokens > 0 && matchedTokens >= sharedTokens * HOLDER_RATIO
   const isTaken = (candidate: Candidate, left: number, index: number) =>
-    candidate.isHome || isHolder(candidate) || random.next() < left / (ranked.length - index)
+    candidate.isPreferred || isHolder(candidate) || random.next() < left / (ranked.length - index)
   const taken: Candidate[] = []
   const rest: Candidate[] = []
   for (const [index, candidate] of ranked.entries()) {
@@ -252,9 +270,9 @@
 }
 
 /** Ranks the servers of a group that may take the request, the best first. */
-export function rankServers(parts: ChoiceParts, input: ChoiceInput): Candidate[] {
+export function rankServers(parts: RankingContext, input: RankingInput): Candidate[] {
   const { view, group, prompt, excluded, formatScope, now } = input
-  const { board, memory, liveness, limits } = parts
+  const { serverStats, prefixCache, liveness, limits } = parts
   const isOpen = (id: BackendServerId) => isOpenTo(judgeServer(parts, id, now))
   const inGroup = [...view.servers.values()].filter(
     (server) => server.group === group.name && server.phase === 'ready',
@@ -262,10 +280,10 @@
   const usable = inGroup.filter(
     ({ id }) => !excluded.has(id) && !view.expired.has(id) && isOpen(id),
   )
-  const alive = inGroup.filter(({ id }) => !liveness.isDead(id) && !view.silent.has(id))
-  const forLong =
+  const alive = inGroup.filter(({ id }) => !liveness.isUnreachable(id) && !view.silent.has(id))
+  const longPromptEngines =
     prompt &&
-    parts.split.listForLong(
+    parts.enginePartition.listLongPromptEngines(
       group.name,
       alive.map(({ id }) => id),
     )
@@ -280,27 +298,27 @@
     servers: alive,
     isOpen: takesParts,
     formatScope,
-    board,
-    memory,
-    forLong,
+    serverStats,
+    prefixCache,
+    longPromptEngines,
   }
-  const places = prompt && findPlaces({ ...shares, prompt })
-  const tokensPerMs = parts.times.findTokensPerMs(group.name)
+  const places = prompt && findPrefixLocations({ ...shares, prompt })
+  const tokensPerMs = parts.serviceTimes.findPrefillTokensPerMs(group.name)
   const isAnyShedding = inGroup.some(isShed)
-  const plainWorkMs = parts.times.findPlainMs(group.name)
+  const plainWorkMs = parts.serviceTimes.findPlainRequestMs(group.name)
   const ranked = usable.map((server): Candidate => {
-    const load = addUpLoad(board.findLoad(server.id), view.loads[server.id])
+    const load = addLoad(serverStats.findLoad(server.id), view.loads[server.id])
     const plainMs = load.calls * plainWorkMs
     const found =
       prompt && places
         ? estimateEngineCost(parts, input, prompt, places, server, load, tokensPerMs)
-        : { ...PLAIN_FACTS, expectedMs: plainMs, cost: plainMs }
+        : { ...PLAIN_SERVICE_FIELDS, expectedMs: plainMs, cost: plainMs }
     const isUnproven = isAnyShedding && load.calls === 0
-    const unprovenMs = isUnproven ? UNPROVEN_MS * (1 + parts.random.next()) : 0
-    const cost = found.cost + countPenalty(parts, input, server) + unprovenMs
+    const unprovenMs = isUnproven ? IDLE_WHILE_SHEDDING_MS * (1 + parts.random.next()) : 0
+    const cost = found.cost + estimateServerPenalty(parts, input, server) + unprovenMs
     return { server, ...found, cost }
   })
   ranked.sort((a, b) => a.cost - b.cost || (a.server.id < b.server.id ? -1 : 1))
-  const drawn = prompt ? drawCandidates(ranked, countSharedTokens(prompt), parts.random) : ranked
+  const drawn = prompt ? rankSampledFirst(ranked, countSharedTokens(prompt), parts.random) : ranked
   return rankProbesFirst(drawn, (id) => limits.isProbeDue(id, now))
 }
--- a/packages/router/src/direct/serverSelection.ts
+++ b/packages/router/src/direct/serverSelection.ts
@@ -2,7 +2,7 @@
 import type { BackendServerId } from '@spoolgate/core'
 import { formatCallScope, type CallPlan } from './callPlan.js'
 import { LOADING_MS, rankServers, type Candidate } from './serverRanking.js'
-import type { DirectParts } from './directContext.js'
+import type { DirectContext } from './directContext.js'
 import { findRetryAfterSeconds, drawRetryAfterSeconds } from './errorResponses.js'
 import { formatChoice } from './sendRecord.js'
 import { judgeServer } from './serverVerdict.js'
@@ -11,7 +11,7 @@
 const MAX_SENDS = 4
 
 /** What has become of a request so far. */
-export interface SendsSoFar {
+export interface SendHistory {
   /** Sends that were begun. */
   readonly sends: number
   /** Servers that were sent bytes of the request. */
@@ -30,10 +30,10 @@
 }
 
 /** What was chosen. */
-export type SendChoice = { readonly kind: 'server'; readonly candidate: Candidate } | NoServer
+export type ServerSelection = { readonly kind: 'server'; readonly candidate: Candidate } | NoServer
 
 /** When some server of the group takes requests again; now where one does already. */
-function findOpenAt(parts: DirectParts, plan: CallPlan): number {
+function findOpenAt(parts: DirectContext, plan: CallPlan): number {
   const now = parts.timers.now()
   const instants = [...plan.view.servers.values()]
     .filter(({ group, phase }) => group === plan.group.name && phase === 'ready')
@@ -44,13 +44,13 @@
 }
 
 /** Finds after how many seconds it is worth coming back for a caller that no server takes now. */
-export function findReturnSeconds(parts: DirectParts, plan: CallPlan): number {
+export function findGroupRetryAfterSeconds(parts: DirectContext, plan: CallPlan): number {
   const retryAfterMs = findOpenAt(parts, plan) - parts.timers.now()
   return drawRetryAfterSeconds(retryAfterMs, parts.random)
 }
 
-function createNoServer(parts: DirectParts, plan: CallPlan, log: CallLog): NoServer {
-  const retryAfterSeconds = findReturnSeconds(parts, plan)
+function createNoServer(parts: DirectContext, plan: CallPlan, log: CallLog): NoServer {
+  const retryAfterSeconds = findGroupRetryAfterSeconds(parts, plan)
   const backingOff = parts.backpressure.listBackingOff(parts.timers.now()).length
   const limited = parts.limits.countLimited()
   log('call.noServer', { group: plan.group.name, backingOff, limited, retryAfterSeconds })
@@ -58,8 +58,8 @@
 }
 
 /** Whether a generation request cannot begin before its time is over, or no engine takes any. */
-function findHopeless(
-  parts: DirectParts,
+function findDeadlineRefusal(
+  parts: DirectContext,
   plan: CallPlan,
   { expectedMs, cost }: Candidate,
   log: CallLog,
@@ -72,12 +72,12 @@
 }
 
 /** Chooses the server of the next send. */
-export function chooseSend(
-  parts: DirectParts,
+export function chooseServer(
+  parts: DirectContext,
   plan: CallPlan,
-  { sends, sentTo, excluded }: SendsSoFar,
+  { sends, sentTo, excluded }: SendHistory,
   log: CallLog,
-): SendChoice {
+): ServerSelection {
   if (sends >= MAX_SENDS) return createNoServer(parts, plan, log)
   const ranked = rankServers(parts, {
     view: parts.feed.current() ?? plan.view,
@@ -93,7 +93,7 @@
   const [best] = allowed
   if (!best) return createNoServer(parts, plan, log)
   const isJudged = plan.call.prompt !== undefined && sends === 0
-  const hopeless = isJudged ? findHopeless(parts, plan, best, log) : undefined
+  const hopeless = isJudged ? findDeadlineRefusal(parts, plan, best, log) : undefined
   if (hopeless) return hopeless
   log('call.choice', formatChoice(plan, best, allowed.at(1)))
   return { kind: 'server', candidate: best }
--- a/packages/router/src/direct/serverStats.ts
+++ b/packages/router/src/direct/serverStats.ts
@@ -7,21 +7,21 @@
 export type CallOutcome = 'ok' | 'failed' | 'none'
 
 /** A call in progress at a backend server. */
-export interface CallTicket {
+export interface TrackedCall {
   /** Notes that the prompt has been read: the first part of the answer is here. */
-  recordFirstPart(): void
+  recordFirstChunk(): void
   /** Notes any sign of life of the server. */
-  recordSign(): void
+  recordActivity(): void
   /** Whether the server has given no sign of life since the call was sent. */
-  isUnanswered(): boolean
+  hasNoServerActivity(): boolean
   /** Notes the end of the call. */
   finish(outcome: CallOutcome): void
 }
 
-/** First-hand knowledge; see {@link createServerBoard}. */
-export interface ServerBoard {
+/** First-hand knowledge; see {@link createServerStats}. */
+export interface ServerStats {
   /** Notes that a call is sent. */
-  open(server: BackendServerId, promptTokens: number): CallTicket
+  startCall(server: BackendServerId, promptTokens: number): TrackedCall
   findLoad(server: BackendServerId): ServerLoad
   listLoads(): ServerLoads
   /** Notes the weights version that a server named in an answer. */
@@ -39,7 +39,7 @@
 const NO_LOAD: ServerLoad = { calls: 0, promptTokens: 0 }
 
 /** Creates a board without calls. */
-export function createServerBoard(timers: TimerService): ServerBoard {
+export function createServerStats(timers: TimerService): ServerStats {
   const loads = new Map<BackendServerId, ServerLoad>()
   const signAt = new LRUCache<BackendServerId, number>({ max: MAX_SERVERS })
   const versions = new LRUCache<BackendServerId, number>({ max: MAX_SERVERS })
@@ -58,19 +58,19 @@
     failureRates.set(server, rate + FAILURE_WEIGHT * (last - rate))
   }
   return {
-    open: (server, promptTokens) => {
+    startCall: (server, promptTokens) => {
       const openedAt = timers.now()
       let pendingTokens = promptTokens
       let isOpen = true
       addLoad(server, 1, promptTokens)
       return {
-        recordFirstPart: () => {
+        recordFirstChunk: () => {
           if (pendingTokens === 0 || !isOpen) return
           addLoad(server, 0, -pendingTokens)
           pendingTokens = 0
         },
-        recordSign: () => void signAt.set(server, timers.now()),
-        isUnanswered: () => (signAt.get(server) ?? -Infinity) < openedAt,
+        recordActivity: () => void signAt.set(server, timers.now()),
+        hasNoServerActivity: () => (signAt.get(server) ?? -Infinity) < openedAt,
         finish: (outcome) => {
           if (!isOpen) return
           isOpen = false
--- a/packages/router/src/direct/serviceTimes.ts
+++ b/packages/router/src/direct/serviceTimes.ts
@@ -4,16 +4,16 @@
  * these; what a deployment's servers can do is written nowhere.
  */
 
-/** Learned times; see {@link createWorkTimes}. */
-export interface WorkTimes {
+/** Learned times; see {@link createServiceTimes}. */
+export interface ServiceTimes {
   /** Notes that an engine read prompt tokens, by the time from the send to the first part in ms. */
-  recordRead(group: string, tokens: number, ms: number): void
+  recordPrefill(group: string, tokens: number, ms: number): void
   /** Notes that a plain service answered, by the time from the send to the answer in ms. */
-  recordPlain(group: string, ms: number): void
+  recordPlainRequest(group: string, ms: number): void
   /** Prompt tokens that an engine of the group reads in a ms. */
-  findTokensPerMs(group: string): number
+  findPrefillTokensPerMs(group: string): number
   /** Time of one request to a plain service of the group, in ms. */
-  findPlainMs(group: string): number
+  findPlainRequestMs(group: string): number
 }
 
 /** Values that are kept for each group: seconds of a busy router, so that a change shows soon. */
@@ -31,7 +31,7 @@
 const PLAIN_QUANTILE = 0.5
 
 /** Creates times that know of no call. */
-export function createWorkTimes(): WorkTimes {
+export function createServiceTimes(): ServiceTimes {
   const rates = new Map<string, number[]>()
   const plainTimes = new Map<string, number[]>()
   const record = (samples: Map<string, number[]>, group: string, value: number) => {
@@ -43,12 +43,13 @@
     return sorted[Math.floor(quantile * (sorted.length - 1))]
   }
   return {
-    recordRead: (group, tokens, ms) => {
+    recordPrefill: (group, tokens, ms) => {
       if (tokens >= MIN_READ_TOKENS && ms > 0) record(rates, group, tokens / ms)
     },
-    recordPlain: (group, ms) => record(plainTimes, group, ms),
-    findTokensPerMs: (group) =>
+    recordPlainRequest: (group, ms) => record(plainTimes, group, ms),
+    findPrefillTokensPerMs: (group) =>
       findQuantile(rates.get(group), READ_QUANTILE) ?? START_TOKENS_PER_MS,
-    findPlainMs: (group) => findQuantile(plainTimes.get(group), PLAIN_QUANTILE) ?? START_PLAIN_MS,
+    findPlainRequestMs: (group) =>
+      findQuantile(plainTimes.get(group), PLAIN_QUANTILE) ?? START_PLAIN_MS,
   }
 }
--- a/packages/router/src/index.ts
+++ b/packages/router/src/index.ts
@@ -8,14 +8,14 @@
   type DirectRouterOptions,
 } from './direct/directRouter.js'
 export type {
-  AnswerHead,
-  BackendDialect,
-  CallerDialect,
+  ResponseHead,
+  BackendProtocol,
+  CallerProtocol,
   DirectCall,
-  DirectSend,
+  BackendRequest,
   HeaderList,
   LimitSignal,
-  PromptFacts,
+  PromptInfo,
   PromptPart,
   BackoffSignal,
 } from './direct/protocols.js'
