--- a/packages/control/src/__tests__/feedHerd.ts
+++ b/packages/control/src/__tests__/feedHerd.ts
@@ -28,7 +28,7 @@
 import type { RaftMember } from '../raft/types.js'
 import { createControlMachine } from '../state/controlMachine.js'
 import { buildServerIdentity } from '../state/serverState.js'
-import { createNoQuotas, NO_LIMITS, NO_QUOTAS } from './idleRecords.js'
+import { createUnlimitedQuotaBuckets, NO_LIMITS, NO_QUOTAS } from './routerRecordStubs.js'
 
 /** What starts, and on what. */
 export interface HerdOptions {
@@ -233,7 +233,7 @@
       }),
       machine,
       timers,
-      quotas: createNoQuotas(timers),
+      quotas: createUnlimitedQuotaBuckets(timers),
       tables,
       findConditions: () => ({ loading: [], expired: [], silent: [], stores: [] }),
       conditionChanges: NEVER,
--- a/packages/control/src/__tests__/feedSource.spec.ts
+++ b/packages/control/src/__tests__/feedSource.spec.ts
@@ -8,7 +8,7 @@
 import { createFeedSource } from '../registry/feedSource.js'
 import type { RaftMember } from '../raft/types.js'
 import { createControlMachine } from '../state/controlMachine.js'
-import { createNoQuotas } from './idleRecords.js'
+import { createUnlimitedQuotaBuckets } from './routerRecordStubs.js'
 
 const TERM = 3
 
@@ -34,7 +34,7 @@
     member,
     machine,
     timers,
-    quotas: createNoQuotas(timers),
+    quotas: createUnlimitedQuotaBuckets(timers),
     blame: createBlameSource({ member, quarantine, timers, logger: createQuietLogger() }),
     tables: { findUpdate: () => undefined },
     findConditions: () => ({ loading: [], expired: [], silent: [], stores: [] }),
--- a/packages/control/src/__tests__/instanceSearch.spec.ts
+++ b/packages/control/src/__tests__/instanceSearch.spec.ts
@@ -6,7 +6,7 @@
   SpoolgateError,
 } from '@spoolgate/core'
 import { expect } from 'chai'
-import { createInstanceSearch, type FoundAnswer } from '../registry/instanceSearch.js'
+import { createInstanceSearch, type InstanceAnswer } from '../registry/instanceSearch.js'
 
 const STEP_MS = 10
 
@@ -57,8 +57,8 @@
     listState: () => ({ tableVersion: undefined }),
     stopping: stopping.signal,
   })
-  let found: FoundAnswer<string> | undefined
-  const take = (result: FoundAnswer<string> | undefined) => void (found = result)
+  let found: InstanceAnswer<string> | undefined
+  const take = (result: InstanceAnswer<string> | undefined) => void (found = result)
   const run = async (duration: number) => {
     for (let spent = 0; spent < duration && !found; spent += STEP_MS) {
       timers.advance(STEP_MS)
--- a/packages/control/src/__tests__/lateHeartbeat.spec.ts
+++ b/packages/control/src/__tests__/lateHeartbeat.spec.ts
@@ -6,7 +6,7 @@
   type HttpClient,
 } from '@spoolgate/core'
 import { expect } from 'chai'
-import { createFleetOperator } from '../registry/fleetOperations.js'
+import { createFleetOperationRunner } from '../registry/fleetOperations.js'
 import type { RaftMember } from '../raft/types.js'
 import { createControlMachine } from '../state/controlMachine.js'
 import { buildServerIdentity, type RegisteredServer } from '../state/serverState.js'
@@ -25,7 +25,7 @@
       return machine.apply(command, 1)
     },
   } as unknown as RaftMember
-  const operator = createFleetOperator({
+  const operator = createFleetOperationRunner({
     member,
     machine,
     client: {} as HttpClient,
--- a/packages/control/src/__tests__/loadSum.spec.ts
+++ b/packages/control/src/__tests__/loadAggregator.spec.ts
@@ -1,12 +1,12 @@
 import { createManualTimerService } from '@spoolgate/core'
 import { expect } from 'chai'
-import { createLoadSum } from '../registry/loadSum.js'
+import { createLoadAggregator } from '../registry/loadAggregator.js'
 
 const ROUTER_LIFE_MS = 3_000
 
 function createSum() {
   const timers = createManualTimerService()
-  return { timers, sum: createLoadSum({ timers, routerLifeMs: ROUTER_LIFE_MS }) }
+  return { timers, sum: createLoadAggregator({ timers, routerLifeMs: ROUTER_LIFE_MS }) }
 }
 
 describe('the sum of what routers have in progress', () => {
--- a/packages/control/src/__tests__/quotaBuckets.spec.ts
+++ b/packages/control/src/__tests__/quotaBuckets.spec.ts
@@ -3,11 +3,11 @@
 import { expect } from 'chai'
 import { createQuotaBuckets } from '../registry/quotaBuckets.js'
 import {
-  findSilenceMs,
+  findContactTimeoutMs,
   formatQuotaKey,
   type CreditUse,
   type QuotaReport,
-} from '../registry/quotaCredits.js'
+} from '../registry/quotaProtocol.js'
 
 const QUOTA: TeamQuota = { unit: 'tokens', perSecond: 1_000, burst: 1_000, uncountedTokens: 1 }
 const TOLERANCE = { ratio: 0.1, slack: 0, windowMs: 8_000 }
@@ -56,7 +56,7 @@
     const use = { held: -5_000 }
     buckets.settle(buildReport({}, { router: 'r2', life: 'b' }))
     buckets.settle(buildReport(use))
-    timers.advance(findSilenceMs(2) + 1)
+    timers.advance(findContactTimeoutMs(2) + 1)
     buckets.settle(buildReport({ seen: 5_000 }, { uses: [] }))
     const before = findLevel()
     timers.advance(1_000)
--- a/packages/control/src/__tests__/limitParts.spec.ts
+++ b/packages/control/src/__tests__/rateLimitAllocator.spec.ts
@@ -1,6 +1,6 @@
 import { createManualTimerService } from '@spoolgate/core'
 import { expect } from 'chai'
-import { createLimitParts } from '../registry/limitParts.js'
+import { createRateLimitAllocator } from '../registry/rateLimitAllocator.js'
 
 const ROUTERS = Array.from({ length: 12 }, (_, index) => `r${index}`)
 const SETTLED_MS = 2_000
@@ -8,7 +8,7 @@
 function createDivision(routers: readonly string[] = ROUTERS) {
   const timers = createManualTimerService()
   const known = { routers: [...routers], servers: new Set(['s1', 's2']) }
-  const parts = createLimitParts({
+  const parts = createRateLimitAllocator({
     timers,
     listRouters: () => known.routers,
     isRegistered: (server) => known.servers.has(server),
--- a/packages/control/src/__tests__/idleRecords.ts
+++ b/packages/control/src/__tests__/routerRecordStubs.ts
@@ -17,7 +17,7 @@
 }
 
 /** Creates buckets of a leader whose teams have no limits. */
-export function createNoQuotas(timers: TimerService): QuotaBuckets {
+export function createUnlimitedQuotaBuckets(timers: TimerService): QuotaBuckets {
   const tolerance = { ratio: 0, slack: 0, windowMs: 1 }
   return createQuotaBuckets({ timers, findQuota: () => undefined, tolerance })
 }
--- a/packages/control/src/__tests__/tableProof.spec.ts
+++ b/packages/control/src/__tests__/tableProof.spec.ts
@@ -10,7 +10,7 @@
 import { createBlameRecord } from '../blame/blameRecord.js'
 import { createFeedFollower } from '../registry/feedFollower.js'
 import { buildTableUpdate } from '../table/tableUpdate.js'
-import { NO_LIMITS, NO_QUOTAS } from './idleRecords.js'
+import { NO_LIMITS, NO_QUOTAS } from './routerRecordStubs.js'
 
 const STEP_MS = 5
 const POLL_MS = 100
--- a/packages/control/src/__tests__/weightsRollout.spec.ts
+++ b/packages/control/src/__tests__/weightsRollout.spec.ts
@@ -7,8 +7,8 @@
   type ManualTimerService,
 } from '@spoolgate/core'
 import { expect } from 'chai'
-import type { EngineReport, LoadOrder } from '../registry/engineOrders.js'
-import { createServerWatch } from '../registry/serverWatch.js'
+import type { EngineReport, LoadOrder } from '../registry/engineClient.js'
+import { createServerMonitor } from '../registry/serverMonitor.js'
 import { createWeightsRollout, type WeightsRollout } from '../registry/weightsRollout.js'
 import type { RaftMember, RaftStatus } from '../raft/types.js'
 import type { LoadMark } from '../state/loadState.js'
@@ -205,7 +205,7 @@
   it('names servers whose weights are too old, one that comes late included', () => {
     const timers = createManualTimerService()
     const machine = createControlMachine()
-    const watch = createServerWatch({
+    const watch = createServerMonitor({
       machine,
       timers,
       findSilenceMs: () => 0,
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -25,17 +25,17 @@
   type RegistryControlOptions,
 } from './registry/registryControl.js'
 export type {
-  FleetOperator,
+  FleetOperationRunner,
   FleetOperations,
   ServerHeartbeat,
   ServerLeave,
 } from './registry/fleetOperations.js'
 export type {
-  EngineOrders,
+  EngineClient,
   EngineReport,
   LoadOrder,
   OrderOutcome,
-} from './registry/engineOrders.js'
+} from './registry/engineClient.js'
 export {
   createFeedFollower,
   type FeedFollower,
@@ -45,8 +45,8 @@
 } from './registry/feedFollower.js'
 export { createQuotaBuckets, type QuotaBuckets } from './registry/quotaBuckets.js'
 export {
-  CREDIT_LIFE_MS,
-  findSilenceMs,
+  CREDIT_TTL_MS,
+  findContactTimeoutMs,
   formatQuotaKey,
   QUOTA_PATH,
   type CreditGrant,
@@ -55,10 +55,10 @@
   type QuotaReport,
   type QuotaStatus,
   type QuotaTolerance,
-} from './registry/quotaCredits.js'
-export { createLimitParts, type LimitParts } from './registry/limitParts.js'
+} from './registry/quotaProtocol.js'
+export { createRateLimitAllocator, type RateLimitAllocator } from './registry/rateLimitAllocator.js'
 export { createControlMachine, type ControlMachine } from './state/controlMachine.js'
-export { createLoadSum, type LoadSum } from './registry/loadSum.js'
+export { createLoadAggregator, type LoadAggregator } from './registry/loadAggregator.js'
 export { createBlameSource, type BlameSource } from './blame/blameSource.js'
 export { createBlameRecord, type BlameRecord } from './blame/blameRecord.js'
 export {
--- a/packages/control/src/registry/engineOrders.ts
+++ b/packages/control/src/registry/engineClient.ts
@@ -47,7 +47,7 @@
   | 'unknown'
 
 /** Speaks to engines. */
-export interface EngineOrders {
+export interface EngineClient {
   /**
    * Fetches what an engine holds.
    * @throws ConnectionError or SpoolgateError when there is no readable answer.
--- a/packages/control/src/registry/feed.ts
+++ b/packages/control/src/registry/feed.ts
@@ -6,9 +6,9 @@
  */
 import type { BackendServerId, RequestFingerprint } from '@spoolgate/core'
 import type { BlameReport, SuspectedRequest } from '../blame/requestBlame.js'
-import type { ServerNews } from './serverChanges.js'
+import type { ServersUpdate } from './serverChanges.js'
 import type { TableUpdate } from '../table/tableUpdate.js'
-import type { QuotaGrants, QuotaReport } from './quotaCredits.js'
+import type { QuotaGrants, QuotaReport } from './quotaProtocol.js'
 
 /** Path of the feed at a control instance. */
 export const FEED_PATH = '/feed'
@@ -139,7 +139,7 @@
   readonly tableUpdate?: TableUpdate
   /** The rest is present when the router holds another revision. */
   readonly weights?: Readonly<Record<string, number>>
-  readonly servers?: ServerNews
+  readonly servers?: ServersUpdate
   readonly conditions?: ServerConditions
   /** URLs of the control instances. */
   readonly control?: readonly string[]
--- a/packages/control/src/registry/feedFollower.ts
+++ b/packages/control/src/registry/feedFollower.ts
@@ -26,7 +26,7 @@
 } from './feed.js'
 import { createHeldFleet, type FleetView } from './heldFleet.js'
 import { createInstanceSearch } from './instanceSearch.js'
-import type { QuotaGrants, QuotaReport } from './quotaCredits.js'
+import type { QuotaGrants, QuotaReport } from './quotaProtocol.js'
 import { createTableFetch } from './tableFetch.js'
 
 /** Options of {@link createFeedFollower}. */
--- a/packages/control/src/registry/feedSource.ts
+++ b/packages/control/src/registry/feedSource.ts
@@ -21,11 +21,11 @@
   type ServerLoads,
 } from './feed.js'
 import type { KeptParts } from './keptParts.js'
-import { createLimitParts } from './limitParts.js'
-import { createLoadSum } from './loadSum.js'
+import { createRateLimitAllocator } from './rateLimitAllocator.js'
+import { createLoadAggregator } from './loadAggregator.js'
 import { createPlacementLog } from './placementLog.js'
 import type { QuotaBuckets } from './quotaBuckets.js'
-import type { QuotaGrants, QuotaReport, QuotaStatus } from './quotaCredits.js'
+import type { QuotaGrants, QuotaReport, QuotaStatus } from './quotaProtocol.js'
 import { createServerChanges } from './serverChanges.js'
 import type { TableHistory } from '../table/tableHistory.js'
 import { measureUpdate, NO_TABLE_VERSION } from '../table/tableUpdate.js'
@@ -113,8 +113,8 @@
 /** Creates the source. */
 export function createFeedSource(options: FeedSourceOptions): FeedSource {
   const { member, machine, timers, blame } = options
-  const loads = createLoadSum({ timers, routerLifeMs: ROUTER_LIFE_MS })
-  const limits = createLimitParts({
+  const loads = createLoadAggregator({ timers, routerLifeMs: ROUTER_LIFE_MS })
+  const limits = createRateLimitAllocator({
     timers,
     listRouters: loads.listBusyRouters,
     isRegistered: (server) => machine.servers.find(server as BackendServerId) !== undefined,
--- a/packages/control/src/registry/fleetOperations.ts
+++ b/packages/control/src/registry/fleetOperations.ts
@@ -69,8 +69,8 @@
 /** Name of an operation. */
 export type FleetOperationName = keyof FleetOperations
 
-/** Options of {@link createFleetOperator}. */
-export interface FleetOperatorOptions {
+/** Options of {@link createFleetOperationRunner}. */
+export interface FleetOperationRunnerOptions {
   readonly member: RaftMember
   readonly machine: ControlMachine
   readonly client: HttpClient
@@ -83,8 +83,8 @@
   readonly rejectedInputs: RejectedInputs
 }
 
-/** Runs operations; see {@link createFleetOperator}. */
-export interface FleetOperator {
+/** Runs operations; see {@link createFleetOperationRunner}. */
+export interface FleetOperationRunner {
   /**
    * Runs an operation at the leader, wherever it is.
    * @throws SpoolgateError `controlUnavailable` when it is not known whether it was carried out.
@@ -111,7 +111,9 @@
 }
 
 /** Creates the operator of one instance. */
-export function createFleetOperator(options: FleetOperatorOptions): FleetOperator {
+export function createFleetOperationRunner(
+  options: FleetOperationRunnerOptions,
+): FleetOperationRunner {
   const { member, machine, client, timers, logger } = options
   const receivedAt = new LRUCache<BackendServerId, number>({ max: MAX_HEARD })
   let leadingTerm: number | undefined
--- a/packages/control/src/registry/heldFleet.ts
+++ b/packages/control/src/registry/heldFleet.ts
@@ -12,7 +12,7 @@
   type TableUpdate,
 } from '../table/tableUpdate.js'
 import type { RegisteredServer } from '../state/serverState.js'
-import type { ServerNews } from './serverChanges.js'
+import type { ServersUpdate } from './serverChanges.js'
 import type {
   FeedReply,
   FeedRequest,
@@ -146,7 +146,7 @@
     return true
   }
   /** False when the news belong to another revision than the one held: then all servers are asked for. */
-  const applyServers = ({ since, changed, gone }: ServerNews) => {
+  const applyServers = ({ since, changed, gone }: ServersUpdate) => {
     if (since !== null && since !== position.revision) return false
     const next = new Map(since === null ? [] : servers)
     for (const id of gone) next.delete(id)
--- a/packages/control/src/registry/instanceSearch.ts
+++ b/packages/control/src/registry/instanceSearch.ts
@@ -31,7 +31,7 @@
 }
 
 /** An instance with its answer. */
-export interface FoundAnswer<Answer> {
+export interface InstanceAnswer<Answer> {
   readonly url: string
   readonly answer: Answer
 }
@@ -42,9 +42,9 @@
    * Asks an instance that answered lately. Undefined when it does not answer within `patienceMs`; the ask
    * goes on then, and {@link InstanceSearch.run} takes its answer.
    */
-  askFirst(url: string, patienceMs: number): Promise<FoundAnswer<Answer> | undefined>
+  askFirst(url: string, patienceMs: number): Promise<InstanceAnswer<Answer> | undefined>
   /** Asks all instances until one answers; undefined once stopping. */
-  run(): Promise<FoundAnswer<Answer> | undefined>
+  run(): Promise<InstanceAnswer<Answer> | undefined>
 }
 
 /** Silence of an instance after which the next one is asked beside it, in ms. */
@@ -128,7 +128,7 @@
     if (first) open.delete(first.ask)
     return first?.end
   }
-  const settle = ({ url, answer }: FoundAnswer<Answer>): FoundAnswer<Answer> => {
+  const settle = ({ url, answer }: InstanceAnswer<Answer>): InstanceAnswer<Answer> => {
     for (const ask of open) removeAsk(ask)
     reasons.clear()
     return { url, answer }
--- a/packages/control/src/registry/knownTable.ts
+++ b/packages/control/src/registry/knownTable.ts
@@ -1,7 +1,7 @@
 /** The routing table of a control instance, decoded once for each version. */
 import type { Logger } from '@spoolgate/core'
 import type { RoutingTable, TeamQuota } from '@spoolgate/routing'
-import { formatQuotaKey } from './quotaCredits.js'
+import { formatQuotaKey } from './quotaProtocol.js'
 import type { TableState } from '../state/tableState.js'
 
 /** Options of {@link createKnownTable}. */
--- a/packages/control/src/registry/loadSum.ts
+++ b/packages/control/src/registry/loadAggregator.ts
@@ -5,8 +5,8 @@
 import type { TimerService } from '@spoolgate/core'
 import type { ServerLoad, ServerLoads } from './feed.js'
 
-/** The sum; see {@link createLoadSum}. */
-export interface LoadSum {
+/** The sum; see {@link createLoadAggregator}. */
+export interface LoadAggregator {
   /** Replaces what a router has in progress. */
   record(router: string, loads: ServerLoads): void
   /** Lists the routers that had work lately, or all of them where none had. */
@@ -17,8 +17,8 @@
   sumOthers(router: string | undefined): ServerLoads
 }
 
-/** Options of {@link createLoadSum}. */
-export interface LoadSumOptions {
+/** Options of {@link createLoadAggregator}. */
+export interface LoadAggregatorOptions {
   readonly timers: TimerService
   /** Time after which a router that does not poll no longer counts, in ms. */
   readonly routerLifeMs: number
@@ -47,7 +47,10 @@
 }
 
 /** Creates a sum over no routers. */
-export function createLoadSum({ timers, routerLifeMs }: LoadSumOptions): LoadSum {
+export function createLoadAggregator({
+  timers,
+  routerLifeMs,
+}: LoadAggregatorOptions): LoadAggregator {
   /** In the order of their last polls. */
   const routers = new Map<string, RouterLoads>()
   const total = new Map<string, ServerLoad>()
--- a/packages/control/src/registry/orderTurns.ts
+++ b/packages/control/src/registry/orderLeases.ts
@@ -7,16 +7,16 @@
 import type { ServerName, TimerService } from '@spoolgate/core'
 import type { LoadState } from '../state/loadState.js'
 
-/** Options of {@link createOrderTurns}. */
-export interface OrderTurnsOptions {
+/** Options of {@link createOrderLeases}. */
+export interface OrderLeasesOptions {
   readonly loads: LoadState
   readonly timers: TimerService
   /** Time for which the orders of an earlier leader may still count, in ms. */
   readonly orderLeaseMs: number
 }
 
-/** The turns; see {@link createOrderTurns}. */
-export interface OrderTurns {
+/** The turns; see {@link createOrderLeases}. */
+export interface OrderLeases {
   /** Notes that this instance leads from now on. */
   startLeading(): void
   /** Notes that the engine gets orders from this leader from now on. */
@@ -30,7 +30,7 @@
 const LEASE_MARGIN_MS = 500
 
 /** Creates the turns of an instance that does not lead. */
-export function createOrderTurns(options: OrderTurnsOptions): OrderTurns {
+export function createOrderLeases(options: OrderLeasesOptions): OrderLeases {
   const { loads, timers, orderLeaseMs } = options
   /** When this instance saw the mark of an engine change. */
   const seenAt = new Map<ServerName, number>()
--- a/packages/control/src/registry/quotaBuckets.ts
+++ b/packages/control/src/registry/quotaBuckets.ts
@@ -5,16 +5,16 @@
 import type { TimerService } from '@spoolgate/core'
 import type { TeamQuota } from '@spoolgate/routing'
 import {
-  CREDIT_LIFE_MS,
-  findReportLagMs,
-  findSilenceMs,
+  CREDIT_TTL_MS,
+  estimateReportLagMs,
+  findContactTimeoutMs,
   type CreditGrant,
   type CreditUse,
   type QuotaGrants,
   type QuotaReport,
   type QuotaStatus,
   type QuotaTolerance,
-} from './quotaCredits.js'
+} from './quotaProtocol.js'
 
 /** Options of {@link createQuotaBuckets}. */
 export interface QuotaBucketsOptions {
@@ -103,7 +103,7 @@
   }
   /** What was used and not reported yet would be lost to a bucket that looks full. */
   const findUnreported = (quota: TeamQuota): number => {
-    const atFullRate = (quota.perSecond * findReportLagMs(routers.size)) / MS_PER_S
+    const atFullRate = (quota.perSecond * estimateReportLagMs(routers.size)) / MS_PER_S
     return Math.min(atFullRate, findTolerated(quota, UNREPORTED_RATIO))
   }
   /** An earlier leader may have granted all of a burst within the last window. */
@@ -159,10 +159,10 @@
   }
   /** Credits of routers that are silent for their life are void there too; they count as used. */
   const settleSilence = (now: number) => {
-    const silenceMs = findSilenceMs(routers.size)
+    const silenceMs = findContactTimeoutMs(routers.size)
     let silent = 0
     for (const [router, { reportedAt }] of routers) {
-      if (now - reportedAt > CREDIT_LIFE_MS) removeLife(router)
+      if (now - reportedAt > CREDIT_TTL_MS) removeLife(router)
       else if (now - reportedAt > silenceMs) silent += 1
     }
     activeRatio = routers.size === 0 ? 1 : 1 - silent / routers.size
@@ -213,7 +213,7 @@
   }
   /** A team has room while the bucket is well filled, and holds what routers use until they report it. */
   const isScarce = ({ level, granted, outstanding, quota }: Bucket) => {
-    const unreported = (granted * findReportLagMs(routers.size)) / DEMAND_MEMORY_MS
+    const unreported = (granted * estimateReportLagMs(routers.size)) / DEMAND_MEMORY_MS
     const room = findCapacity(quota) - Math.max(0, outstanding)
     return level < Math.max(SCARCE_RATIO * room, unreported)
   }
--- a/packages/control/src/registry/quotaCredits.ts
+++ b/packages/control/src/registry/quotaProtocol.ts
@@ -9,7 +9,7 @@
 /** Path at the leader where routers ask for credits at once. */
 export const QUOTA_PATH = '/quotas'
 /** Time without contact to the leader after which credits are void, in ms. */
-export const CREDIT_LIFE_MS = 4_000
+export const CREDIT_TTL_MS = 4_000
 
 const BASE_SILENCE_MS = 350
 /** The answer to a poll arrives up to two times between polls after the one before was sent. */
@@ -20,12 +20,12 @@
  * Finds the silence between a router and the leader, in ms, after which the router uses a share of each rate by itself, and the
  * leader leaves it that share. It follows the time between two polls.
  */
-export function findSilenceMs(routers: number): number {
+export function findContactTimeoutMs(routers: number): number {
   return BASE_SILENCE_MS + routers * SILENCE_PER_ROUTER_MS
 }
 
 /** Finds how old reports are at the leader, in ms. */
-export function findReportLagMs(routers: number): number {
+export function estimateReportLagMs(routers: number): number {
   return routers * LAG_PER_ROUTER_MS
 }
 
--- a/packages/control/src/registry/limitParts.ts
+++ b/packages/control/src/registry/rateLimitAllocator.ts
@@ -6,16 +6,16 @@
 import { hashText } from '@spoolgate/routing'
 import type { LimitNews, LimitReport, LimitsUpdate } from './feed.js'
 
-/** Options of {@link createLimitParts}. */
-export interface LimitPartsOptions {
+/** Options of {@link createRateLimitAllocator}. */
+export interface RateLimitAllocatorOptions {
   readonly timers: TimerService
   /** Lists the routers that have work, or all of them where none has. */
   readonly listRouters: () => readonly string[]
   readonly isRegistered: (server: string) => boolean
 }
 
-/** See {@link createLimitParts}. */
-export interface LimitParts {
+/** See {@link createRateLimitAllocator}. */
+export interface RateLimitAllocator {
   /** Forgets all limits: routers report them to each new leader. */
   reset(): void
   /** Records what a router observed. */
@@ -64,7 +64,7 @@
 }
 
 /** Creates a division of no limits. */
-export function createLimitParts(options: LimitPartsOptions): LimitParts {
+export function createRateLimitAllocator(options: RateLimitAllocatorOptions): RateLimitAllocator {
   const { timers, listRouters, isRegistered } = options
   const entries = new Map<string, LimitEntry>()
   let revision = 0
--- a/packages/control/src/registry/registryControl.ts
+++ b/packages/control/src/registry/registryControl.ts
@@ -33,14 +33,18 @@
 import { createHttpTransport } from '../server/raftTransport.js'
 import { createControlMachine, type ControlMachine } from '../state/controlMachine.js'
 import { createCacheWatch, type CacheCalls } from './cacheWatch.js'
-import type { EngineOrders } from './engineOrders.js'
+import type { EngineClient } from './engineClient.js'
 import { FEED_PATH, TABLE_PATH, type FeedRequest } from './feed.js'
 import { createFeedSource } from './feedSource.js'
-import { createFleetOperator, OPERATION_PATH, type FleetOperator } from './fleetOperations.js'
+import {
+  createFleetOperationRunner,
+  OPERATION_PATH,
+  type FleetOperationRunner,
+} from './fleetOperations.js'
 import { createKnownTable } from './knownTable.js'
 import { createQuotaBuckets } from './quotaBuckets.js'
-import { QUOTA_PATH, type QuotaReport, type QuotaTolerance } from './quotaCredits.js'
-import { createServerWatch } from './serverWatch.js'
+import { QUOTA_PATH, type QuotaReport, type QuotaTolerance } from './quotaProtocol.js'
+import { createServerMonitor } from './serverMonitor.js'
 import { createTableAccess, type TableAccess } from './tableAccess.js'
 import { createTableSource, type TableRequest } from './tableSource.js'
 import { createWeightsRollout } from './weightsRollout.js'
@@ -60,7 +64,7 @@
   readonly isFirstStart: boolean
   /** Voters that the group should have. */
   readonly wantedVoters: number
-  readonly orders: EngineOrders
+  readonly orders: EngineClient
   readonly cacheCalls: CacheCalls
   /** Decodes the operators' document. */
   readonly decodeTable: (document: string) => RoutingTable
@@ -95,7 +99,7 @@
   readonly member: RaftMember
   readonly machine: ControlMachine
   /** Runs what operators and backend servers ask for. */
-  readonly operator: FleetOperator
+  readonly operator: FleetOperationRunner
   /** The routing table for operators. */
   readonly table: TableAccess
   /** Renders the metrics. */
@@ -182,7 +186,7 @@
     'Entries from outside that could not be used',
   )
   options.rejectedInputs.entries.subscribe(({ source }) => rejectedInputs.add(1, { source }))
-  const operator = createFleetOperator({
+  const operator = createFleetOperationRunner({
     member,
     machine,
     client,
@@ -203,7 +207,7 @@
     sumLoads: () => feed.sumLoads(),
     findSilenceMs: operator.findSilenceMs,
   })
-  const watch = createServerWatch({
+  const watch = createServerMonitor({
     machine,
     timers,
     findSilenceMs: operator.findSilenceMs,
--- a/packages/control/src/registry/serverChanges.ts
+++ b/packages/control/src/registry/serverChanges.ts
@@ -5,7 +5,7 @@
 import type { RegisteredServer } from '../state/serverState.js'
 
 /** What a router receives of servers. */
-export interface ServerNews {
+export interface ServersUpdate {
   /** Revision that it is applied to; null where all servers are sent. */
   readonly since: number | null
   /** Servers that are new or changed. */
@@ -19,7 +19,7 @@
   /** Compares the servers with what was seen last, as a revision; true when any changed. */
   record(revision: number): boolean
   /** Lists what changed after a revision; all servers where that is not known, or undefined. */
-  listSince(revision: number | undefined): ServerNews
+  listSince(revision: number | undefined): ServersUpdate
 }
 
 /**
--- a/packages/control/src/registry/serverWatch.ts
+++ b/packages/control/src/registry/serverMonitor.ts
@@ -7,8 +7,8 @@
 import type { ControlMachine } from '../state/controlMachine.js'
 import type { RegisteredServer } from '../state/serverState.js'
 
-/** Options of {@link createServerWatch}. */
-export interface ServerWatchOptions {
+/** Options of {@link createServerMonitor}. */
+export interface ServerMonitorOptions {
   readonly machine: ControlMachine
   readonly timers: TimerService
   /** Ms since the last heartbeat of a server. */
@@ -19,8 +19,8 @@
   readonly weightsExpireMs: number
 }
 
-/** The watch; see {@link createServerWatch}. */
-export interface ServerWatch {
+/** The watch; see {@link createServerMonitor}. */
+export interface ServerMonitor {
   listSilent(): readonly BackendServerId[]
   listExpired(): readonly BackendServerId[]
   /** Emits when either list changed. */
@@ -40,7 +40,7 @@
 }
 
 /** Creates the watch and starts to look. */
-export function createServerWatch(options: ServerWatchOptions): ServerWatch {
+export function createServerMonitor(options: ServerMonitorOptions): ServerMonitor {
   const { machine, timers } = options
   const named = new Map<string, NamedVersion[]>()
   const changes = new Subject<void>()
--- a/packages/control/src/registry/tableAccess.ts
+++ b/packages/control/src/registry/tableAccess.ts
@@ -7,11 +7,11 @@
   NO_TABLE_VERSION,
   type HeldTable,
 } from '../table/tableUpdate.js'
-import type { FleetOperator } from './fleetOperations.js'
+import type { FleetOperationRunner } from './fleetOperations.js'
 
 /** Options of {@link createTableAccess}. */
 export interface TableAccessOptions {
-  readonly operator: Pick<FleetOperator, 'run'>
+  readonly operator: Pick<FleetOperationRunner, 'run'>
   /** The table of this instance, which may be behind. */
   readonly table: Pick<TableState, 'current'>
 }
--- a/packages/control/src/registry/weightsRollout.ts
+++ b/packages/control/src/registry/weightsRollout.ts
@@ -15,15 +15,15 @@
 import type { RaftMember } from '../raft/types.js'
 import type { ControlMachine } from '../state/controlMachine.js'
 import type { RegisteredServer } from '../state/serverState.js'
-import type { EngineOrders, EngineReport, OrderOutcome } from './engineOrders.js'
+import type { EngineClient, EngineReport, OrderOutcome } from './engineClient.js'
 import type { ServerLoads } from './feed.js'
-import { createOrderTurns } from './orderTurns.js'
+import { createOrderLeases } from './orderLeases.js'
 
 /** Options of {@link createWeightsRollout}. */
 export interface WeightsRolloutOptions {
   readonly member: RaftMember
   readonly machine: ControlMachine
-  readonly orders: EngineOrders
+  readonly orders: EngineClient
   readonly instance: string
   readonly timers: TimerService
   readonly logger: Logger
@@ -95,7 +95,7 @@
   /** Engines with an order that got no answer, so that it may still be carried out. */
   const unanswered = new Set<BackendServerId>()
   const loadingChanges = new Subject<void>()
-  const turns = createOrderTurns({
+  const turns = createOrderLeases({
     loads: machine.loads,
     timers,
     orderLeaseMs: options.orderLeaseMs,
--- a/packages/router/src/__tests__/backoffSimulation.ts
+++ b/packages/router/src/__tests__/backoffSimulation.ts
@@ -2,7 +2,7 @@
  * Servers that turn requests away and ask for rest, in virtual time and without a network: the real choice and the real
  * signals of routers, on stand-in servers that shed in turn.
  */
-import { createLoadSum, type FleetView, type RegisteredServer } from '@spoolgate/control'
+import { createLoadAggregator, type FleetView, type RegisteredServer } from '@spoolgate/control'
 import { createManualTimerService, createRandomSource, type BackendServerId } from '@spoolgate/core'
 import { addBackoffs } from '../direct/answerSignals.js'
 import { rankServers, type Candidate } from '../direct/choice.js'
@@ -85,7 +85,7 @@
   constructor(private readonly options: BackoffSimulationOptions) {
     const { timers } = this
     this.random = createRandomSource(options.seed)
-    this.leader = createLoadSum({ timers, routerLifeMs: ROUTER_LIFE_MS })
+    this.leader = createLoadAggregator({ timers, routerLifeMs: ROUTER_LIFE_MS })
     this.servers = Array.from({ length: options.servers }, (_, index) =>
       createEngineServer(`s${index}`),
     )
--- a/packages/router/src/__tests__/limitSimulation.ts
+++ b/packages/router/src/__tests__/limitSimulation.ts
@@ -3,8 +3,8 @@
  * on stand-in servers that answer whatever they receive.
  */
 import {
-  createLimitParts,
-  createLoadSum,
+  createRateLimitAllocator,
+  createLoadAggregator,
   type FleetView,
   type RegisteredServer,
 } from '@spoolgate/control'
@@ -117,11 +117,11 @@
   }
 
   private createLoads() {
-    return createLoadSum({ timers: this.timers, routerLifeMs: ROUTER_LIFE_MS })
+    return createLoadAggregator({ timers: this.timers, routerLifeMs: ROUTER_LIFE_MS })
   }
 
   private createParts() {
-    return createLimitParts({
+    return createRateLimitAllocator({
       timers: this.timers,
       listRouters: () => this.loads.listBusyRouters(),
       isRegistered: () => true,
--- a/packages/router/src/__tests__/quotaCredits.spec.ts
+++ b/packages/router/src/__tests__/quotaCredits.spec.ts
@@ -1,5 +1,5 @@
 import {
-  CREDIT_LIFE_MS,
+  CREDIT_TTL_MS,
   createQuotaBuckets,
   formatQuotaKey,
   type QuotaGrants,
@@ -180,7 +180,7 @@
     const grants = [{ key, granted: 900, retryAfterMs: 0 }]
     credits.applyGrants({ term: 1, sequence: 1, grants, scarce: [key] }, 0)
     expect(credits.describe(use, 0).held).to.equal(900)
-    expect(credits.take(use, CREDIT_LIFE_MS + 1)).to.equal(false)
+    expect(credits.take(use, CREDIT_TTL_MS + 1)).to.equal(false)
   })
 
   it('of one unit are worth nothing in another: a limit in tokens becomes one in requests', () => {
--- a/packages/router/src/limits/quotaCredits.ts
+++ b/packages/router/src/limits/quotaCredits.ts
@@ -3,8 +3,8 @@
  * a router may use some of its share ahead; while it is scarce, each request needs its credits; without a leader, a share of the rate is left.
  */
 import {
-  CREDIT_LIFE_MS,
-  findSilenceMs,
+  CREDIT_TTL_MS,
+  findContactTimeoutMs,
   formatQuotaKey,
   type CreditGrant,
   type CreditUse,
@@ -129,7 +129,7 @@
   }
   const findDemand = ({ demand, demandAt }: TeamCredits, now: number): number =>
     demand * Math.exp(-Math.max(0, now - demandAt) / DEMAND_MEMORY_MS)
-  const findSilentSince = () => contactAt + findSilenceMs(countRouters())
+  const findSilentSince = () => contactAt + findContactTimeoutMs(countRouters())
   const findEvenShare = ({ quota }: QuotaUse): number =>
     quota.perSecond / Math.max(1, countRouters()) / MS_PER_S
   /** Finds what this router may use without a leader, in units a ms: for a team with room, at least what it used before. */
@@ -140,7 +140,7 @@
   }
   /** Adds this router's share of the rate for the time without a leader. */
   const settleSilence = (credits: TeamCredits, use: QuotaUse, now: number) => {
-    if (now - contactAt > CREDIT_LIFE_MS) credits.held = Math.min(0, credits.held)
+    if (now - contactAt > CREDIT_TTL_MS) credits.held = Math.min(0, credits.held)
     const since = Math.max(credits.sharedUntil, findSilentSince())
     if (now <= since) return
     const share = findShare(credits, use, now)
