--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -59,14 +59,17 @@
 export { createRateLimitAllocator, type RateLimitAllocator } from './registry/rateLimitAllocator.js'
 export { createControlMachine, type ControlMachine } from './state/controlMachine.js'
 export { createLoadAggregator, type LoadAggregator } from './registry/loadAggregator.js'
-export { createBlameSource, type BlameSource } from './blame/blameSource.js'
-export { createBlameRecord, type BlameRecord } from './blame/blameRecord.js'
 export {
-  ENDS_TO_QUARANTINE,
-  findHoldMs,
-  type BlamedSend,
+  createQuarantineCoordinator,
+  type QuarantineCoordinator,
+} from './quarantine/quarantineCoordinator.js'
+export { createCrashReportBuffer, type CrashReportBuffer } from './quarantine/crashReportBuffer.js'
+export {
+  CRASHES_TO_QUARANTINE,
+  findQuarantineMs,
+  type InterruptedSend,
   type SuspectedRequest,
-} from './blame/requestBlame.js'
+} from './quarantine/crashReport.js'
 export type { FleetView } from './registry/heldFleet.js'
 export type { CacheCalls, CacheNews } from './registry/cacheWatch.js'
 export type { KeptPart } from './registry/keptParts.js'
--- a/packages/control/src/blame/fingerprintMap.ts
+++ b/packages/control/src/quarantine/fingerprintMap.ts
@@ -1,12 +1,12 @@
 /**
- * A bounded map by fingerprint. Each caller has its own bound, so that one that sends many harmful requests pushes out its
- * own and nobody else's.
+ * A bounded map keyed by request fingerprint. Entries are bounded per caller, so that a caller that sends many harmful
+ * requests evicts only its own entries.
  */
 import { removeOldest, type RequestFingerprint } from '@spoolgate/core'
-import { findCaller } from './requestBlame.js'
+import { parseCallerHash } from './crashReport.js'
 
 /** Bounds of {@link createFingerprintMap}. */
-export interface FingerprintBounds {
+export interface FingerprintMapBounds {
   readonly maxPerCaller: number
   readonly maxCallers: number
 }
@@ -14,15 +14,15 @@
 /** See {@link createFingerprintMap}. */
 export interface FingerprintMap<Value> {
   find(request: RequestFingerprint): Value | undefined
-  /** Sets a value; the caller's oldest gives way, or all of the caller that was set last the longest ago. */
+  /** Sets a value. Evicts the oldest entry of the caller, or all entries of the least recently updated caller. */
   add(request: RequestFingerprint, value: Value): void
-  /** False where it was not there. */
+  /** Removes a value; returns false if there was none. */
   remove(request: RequestFingerprint): boolean
   list(): (readonly [RequestFingerprint, Value])[]
   clear(): void
 }
 
-/** Sets an entry as the newest of a map and removes the oldest beyond a number. */
+/** Sets an entry as the newest of a map, and removes the oldest entries above `most`. */
 function addNewest<Key, Value>(map: Map<Key, Value>, key: Key, value: Value, most: number): void {
   map.delete(key)
   map.set(key, value)
@@ -30,18 +30,18 @@
 }
 
 /** Creates an empty map. */
-export function createFingerprintMap<Value>(bounds: FingerprintBounds): FingerprintMap<Value> {
+export function createFingerprintMap<Value>(bounds: FingerprintMapBounds): FingerprintMap<Value> {
   const callers = new Map<string, Map<RequestFingerprint, Value>>()
   return {
-    find: (request) => callers.get(findCaller(request))?.get(request),
+    find: (request) => callers.get(parseCallerHash(request))?.get(request),
     add: (request, value) => {
-      const caller = findCaller(request)
+      const caller = parseCallerHash(request)
       const own = callers.get(caller) ?? new Map<RequestFingerprint, Value>()
       addNewest(own, request, value, bounds.maxPerCaller)
       addNewest(callers, caller, own, bounds.maxCallers)
     },
     remove: (request) => {
-      const caller = findCaller(request)
+      const caller = parseCallerHash(request)
       const own = callers.get(caller)
       const isRemoved = own?.delete(request) === true
       if (own?.size === 0) callers.delete(caller)
