--- a/packages/router/src/direct/gracefulShutdown.ts
+++ b/packages/router/src/direct/gracefulShutdown.ts
@@ -13,7 +13,7 @@
   type TimerService,
 } from '@spoolgate/core'
 import type { CallPlan } from './callPlan.js'
-import type { DirectCall } from './dialects.js'
+import type { DirectCall } from './protocols.js'
 
 /** A request in progress: from its arrival until the response is sent or the connection closes. */
 export interface TrackedRequest {
