--- a/packages/control/src/__tests__/instanceSearch.spec.ts
+++ b/packages/control/src/__tests__/instanceSearch.spec.ts
@@ -49,16 +49,16 @@
     })
   const search = createInstanceSearch({
     listInstances: () => Object.keys(instances),
-    ask,
+    send: ask,
     timers,
     random: createRandomSource(1),
     logger: createLogger({ write: (line) => void lines.push(line) }),
-    searchEvent: 'control.searching',
-    listState: () => ({ tableVersion: undefined }),
+    logEvent: 'control.searching',
+    describeState: () => ({ tableVersion: undefined }),
     stopping: stopping.signal,
   })
   let found: InstanceAnswer<string> | undefined
-  const take = (result: InstanceAnswer<string> | undefined) => void (found = result)
+  const recordFound = (result: InstanceAnswer<string> | undefined) => void (found = result)
   const run = async (duration: number) => {
     for (let spent = 0; spent < duration && !found; spent += STEP_MS) {
       timers.advance(STEP_MS)
@@ -73,7 +73,7 @@
     search,
     asks,
     lines,
-    take,
+    recordFound,
     run,
     finish,
     found: () => found,
@@ -92,7 +92,7 @@
       slow: () => ({ afterMs: 900 }),
       other: () => refuse('slow'),
     })
-    void scene.search.run().then(scene.take)
+    void scene.search.run().then(scene.recordFound)
     await scene.run(3_000)
     expect(scene.found()).to.deep.equal({ url: 'slow', answer: 'answer 1 of slow' })
     expect(scene.asks.get('slow')).to.equal(1)
@@ -104,11 +104,11 @@
       other: () => refuse('slow'),
     })
     let polled: unknown = 'nothing yet'
-    const polling = scene.search.askFirst('slow', 500).then((answer) => {
+    const polling = scene.search.requestFrom('slow', 500).then((answer) => {
       polled = answer
       return scene.search.run()
     })
-    void polling.then(scene.take)
+    void polling.then(scene.recordFound)
     await scene.run(3_000)
     expect(polled).to.equal(undefined)
     expect(scene.found()?.answer).to.equal('answer 1 of slow')
@@ -119,7 +119,7 @@
       leader: (ask) => ({ afterMs: ask === 1 ? SILENCE : STEP_MS }),
       other: () => refuse('leader'),
     })
-    void scene.search.run().then(scene.take)
+    void scene.search.run().then(scene.recordFound)
     await scene.run(2_000)
     expect(scene.found()?.answer).to.equal('answer 2 of leader')
   })
@@ -130,14 +130,14 @@
       gone2: () => ({ afterMs: SILENCE }),
       leader: () => ({ afterMs: STEP_MS }),
     })
-    void scene.search.run().then(scene.take)
+    void scene.search.run().then(scene.recordFound)
     await scene.run(1_000)
     expect(scene.found()?.url).to.equal('leader')
   })
 
   it('keeps three asks of an instance open at most, and says why there is no answer', async () => {
     const scene = createSearch({ gone: () => ({ afterMs: SILENCE }), other: () => refuse() })
-    void scene.search.run().then(scene.take)
+    void scene.search.run().then(scene.recordFound)
     await scene.run(10_000)
     expect(scene.mostOpen()).to.equal(3)
     const reports = scene.lines.filter((line) => line.includes('event=control.searching'))
@@ -153,7 +153,7 @@
       c: () => refuse('leader'),
       leader: () => ({ afterMs: STEP_MS }),
     })
-    void scene.search.run().then(scene.take)
+    void scene.search.run().then(scene.recordFound)
     await scene.run(100)
     expect(scene.found()?.url).to.equal('leader')
     const others = ['a', 'b', 'c'].map((url) => scene.asks.get(url) ?? 0)
--- a/packages/control/src/__tests__/lateHeartbeat.spec.ts
+++ b/packages/control/src/__tests__/lateHeartbeat.spec.ts
@@ -25,7 +25,7 @@
       return machine.apply(command, 1)
     },
   } as unknown as RaftMember
-  const operator = createFleetOperationRunner({
+  const operations = createFleetOperationRunner({
     member,
     machine,
     client: {} as HttpClient,
@@ -35,8 +35,8 @@
     isKnownGroup: () => true,
     rejectedInputs: createRejectedInputs({ logger: createQuietLogger(), timers }),
   })
-  const beat = (name: string, change: Partial<RegisteredServer> = {}) =>
-    operator.run('observeServer', {
+  const sendHeartbeat = (name: string, change: Partial<RegisteredServer> = {}) =>
+    operations.run('observeServer', {
       server: {
         ...buildServerIdentity(toServerName(name), undefined),
         group: 'g',
@@ -51,51 +51,51 @@
   return {
     timers,
     proposed: () => proposals,
-    beat,
+    sendHeartbeat,
     list: () => machine.servers.list().map(({ id }) => id),
   }
 }
 
 describe('heartbeats of incarnations at one address', () => {
   it('let a new incarnation take the address at once', async () => {
-    const { beat, list } = createLeader()
-    await beat('old')
-    await beat('new')
+    const { sendHeartbeat, list } = createLeader()
+    await sendHeartbeat('old')
+    await sendHeartbeat('new')
     expect(list()).to.deep.equal(['new'])
   })
 
   it('do not take it back when they were held up and arrive late', async () => {
-    const { timers, beat, list } = createLeader()
-    await beat('old')
-    await beat('new')
+    const { timers, sendHeartbeat, list } = createLeader()
+    await sendHeartbeat('old')
+    await sendHeartbeat('new')
     timers.advance(1_000)
-    expect(await beat('old')).to.deep.equal({ phase: 'gone' })
+    expect(await sendHeartbeat('old')).to.deep.equal({ phase: 'gone' })
     expect(list()).to.deep.equal(['new'])
   })
 
   it('take it back once the other one has fallen silent', async () => {
-    const { timers, beat, list } = createLeader()
-    await beat('old')
-    await beat('new')
+    const { timers, sendHeartbeat, list } = createLeader()
+    await sendHeartbeat('old')
+    await sendHeartbeat('new')
     timers.advance(SILENT_AFTER_MS)
-    expect(await beat('old')).to.deep.equal({ phase: 'ready' })
+    expect(await sendHeartbeat('old')).to.deep.equal({ phase: 'ready' })
     expect(list()).to.deep.equal(['old'])
   })
 })
 
 describe('a heartbeat that says nothing new', () => {
   it('makes no entry in the log, whatever came before it', async () => {
-    const { timers, proposed, beat } = createLeader()
-    await beat('one')
-    await beat('two', { address: 'a:2' })
+    const { timers, proposed, sendHeartbeat } = createLeader()
+    await sendHeartbeat('one')
+    await sendHeartbeat('two', { address: 'a:2' })
     expect(proposed()).to.equal(2)
     for (let count = 0; count < 5; count += 1) {
       timers.advance(500)
-      await beat('one')
-      await beat('two', { address: 'a:2' })
+      await sendHeartbeat('one')
+      await sendHeartbeat('two', { address: 'a:2' })
     }
     expect(proposed()).to.equal(2)
-    await beat('two', { address: 'a:2', slots: 5 })
+    await sendHeartbeat('two', { address: 'a:2', slots: 5 })
     expect(proposed()).to.equal(3)
   })
 })
--- a/packages/control/src/__tests__/loadAggregator.spec.ts
+++ b/packages/control/src/__tests__/loadAggregator.spec.ts
@@ -4,52 +4,57 @@
 
 const ROUTER_LIFE_MS = 3_000
 
-function createSum() {
+function createAggregator() {
   const timers = createManualTimerService()
-  return { timers, sum: createLoadAggregator({ timers, routerLifeMs: ROUTER_LIFE_MS }) }
+  return { timers, aggregator: createLoadAggregator({ timers, routerLifeMs: ROUTER_LIFE_MS }) }
 }
 
 describe('the sum of what routers have in progress', () => {
   it('leaves out the router that asks, and servers without work', () => {
-    const { sum } = createSum()
-    sum.record('r1', { e1: { calls: 2, promptTokens: 100 }, e2: { calls: 1, promptTokens: 0 } })
-    sum.record('r2', { e1: { calls: 3, promptTokens: 50 } })
-    expect(sum.sumOthers('r1')).to.deep.equal({ e1: { calls: 3, promptTokens: 50 } })
-    expect(sum.sumOthers(undefined)).to.deep.equal({
+    const { aggregator } = createAggregator()
+    aggregator.record('r1', {
+      e1: { calls: 2, promptTokens: 100 },
+      e2: { calls: 1, promptTokens: 0 },
+    })
+    aggregator.record('r2', { e1: { calls: 3, promptTokens: 50 } })
+    expect(aggregator.sumExcept('r1')).to.deep.equal({ e1: { calls: 3, promptTokens: 50 } })
+    expect(aggregator.sumExcept(undefined)).to.deep.equal({
       e1: { calls: 5, promptTokens: 150 },
       e2: { calls: 1, promptTokens: 0 },
     })
   })
 
   it('counts the routers that a server has asked to back off', () => {
-    const { sum } = createSum()
+    const { aggregator } = createAggregator()
     const backingOff = { e1: { calls: 0, promptTokens: 0, backoffs: 1 } }
-    sum.record('r1', backingOff)
-    sum.record('r2', backingOff)
-    sum.record('r3', { e1: { calls: 1, promptTokens: 7 } })
-    expect(sum.sumOthers('r1')).to.deep.equal({ e1: { calls: 1, promptTokens: 7, backoffs: 1 } })
-    sum.record('r2', {})
-    expect(sum.sumOthers('r3')).to.deep.equal(backingOff)
-    sum.record('r1', {})
-    expect(sum.sumOthers('r3')).to.deep.equal({})
+    aggregator.record('r1', backingOff)
+    aggregator.record('r2', backingOff)
+    aggregator.record('r3', { e1: { calls: 1, promptTokens: 7 } })
+    expect(aggregator.sumExcept('r1')).to.deep.equal({
+      e1: { calls: 1, promptTokens: 7, backoffs: 1 },
+    })
+    aggregator.record('r2', {})
+    expect(aggregator.sumExcept('r3')).to.deep.equal(backingOff)
+    aggregator.record('r1', {})
+    expect(aggregator.sumExcept('r3')).to.deep.equal({})
   })
 
   it('replaces what a router reported before', () => {
-    const { sum } = createSum()
-    sum.record('r1', { e1: { calls: 2, promptTokens: 100 } })
-    sum.record('r1', { e2: { calls: 1, promptTokens: 9 } })
-    expect(sum.sumOthers(undefined)).to.deep.equal({ e2: { calls: 1, promptTokens: 9 } })
-    expect(sum.countRouters()).to.equal(1)
+    const { aggregator } = createAggregator()
+    aggregator.record('r1', { e1: { calls: 2, promptTokens: 100 } })
+    aggregator.record('r1', { e2: { calls: 1, promptTokens: 9 } })
+    expect(aggregator.sumExcept(undefined)).to.deep.equal({ e2: { calls: 1, promptTokens: 9 } })
+    expect(aggregator.countRouters()).to.equal(1)
   })
 
   it('forgets routers that do not poll, and no others', () => {
-    const { timers, sum } = createSum()
-    sum.record('gone', { e1: { calls: 2, promptTokens: 100 } })
-    sum.record('here', { e1: { calls: 1, promptTokens: 7 } })
+    const { timers, aggregator } = createAggregator()
+    aggregator.record('gone', { e1: { calls: 2, promptTokens: 100 } })
+    aggregator.record('here', { e1: { calls: 1, promptTokens: 7 } })
     timers.advance(2_000)
-    sum.record('here', { e1: { calls: 1, promptTokens: 7 } })
+    aggregator.record('here', { e1: { calls: 1, promptTokens: 7 } })
     timers.advance(2_000)
-    expect(sum.countRouters()).to.equal(1)
-    expect(sum.sumOthers(undefined)).to.deep.equal({ e1: { calls: 1, promptTokens: 7 } })
+    expect(aggregator.countRouters()).to.equal(1)
+    expect(aggregator.sumExcept(undefined)).to.deep.equal({ e1: { calls: 1, promptTokens: 7 } })
   })
 })
--- a/packages/control/src/__tests__/quotaBuckets.spec.ts
+++ b/packages/control/src/__tests__/quotaBuckets.spec.ts
@@ -37,16 +37,16 @@
 describe('the leader’s buckets of the teams’ limits', () => {
   it('presume of a new term only a part of the tolerance', () => {
     const { buckets, buildReport, findLevel } = createLeader()
-    buckets.settle(buildReport())
+    buckets.applyReport(buildReport())
     expect(findLevel()).to.be.at.most(PRESUMED)
   })
 
   it('do not grant twice what a doubled or overtaken report asks', () => {
     const { buckets, buildReport } = createLeader()
     const report = buildReport({ waiting: [50] })
-    const [{ granted }] = buckets.settle(report).grants
-    buckets.settle(buildReport())
-    buckets.settle(report)
+    const [{ granted }] = buckets.applyReport(report).grants
+    buckets.applyReport(buildReport())
+    buckets.applyReport(report)
     expect(granted).to.equal(50)
     expect(buckets.list()[0].grantedByRouter).to.deep.equal({ r1: 50 })
   })
@@ -54,20 +54,20 @@
   it('leave silent routers their even share of the rate', () => {
     const { timers, buckets, buildReport, findLevel } = createLeader()
     const use = { held: -5_000 }
-    buckets.settle(buildReport({}, { router: 'r2', life: 'b' }))
-    buckets.settle(buildReport(use))
+    buckets.applyReport(buildReport({}, { router: 'r2', life: 'b' }))
+    buckets.applyReport(buildReport(use))
     timers.advance(findContactTimeoutMs(2) + 1)
-    buckets.settle(buildReport({ seen: 5_000 }, { uses: [] }))
+    buckets.applyReport(buildReport({ seen: 5_000 }, { uses: [] }))
     const before = findLevel()
     timers.advance(1_000)
-    buckets.settle(buildReport({}, { uses: [] }))
+    buckets.applyReport(buildReport({}, { uses: [] }))
     expect(findLevel() - before).to.be.closeTo(QUOTA.perSecond / 2, 1)
   })
 
   it('take use beyond the credits off before anybody gets more', () => {
     const { buckets, buildReport, findLevel } = createLeader()
-    buckets.settle(buildReport({ held: -2_000 }))
-    const { grants, scarce } = buckets.settle(
+    buckets.applyReport(buildReport({ held: -2_000 }))
+    const { grants, scarce } = buckets.applyReport(
       buildReport({ waiting: [10] }, { router: 'r2', life: 'b' }),
     )
     expect(findLevel()).to.be.below(0)
@@ -79,33 +79,33 @@
   it('count credits of a router that started again as used', () => {
     const { timers, buckets, buildReport, findLevel } = createLeader()
     timers.advance(2_000)
-    buckets.settle(buildReport({ waiting: [300] }))
+    buckets.applyReport(buildReport({ waiting: [300] }))
     const before = findLevel()
-    buckets.settle(buildReport({}, { life: 'later' }))
+    buckets.applyReport(buildReport({}, { life: 'later' }))
     expect(findLevel()).to.equal(before)
     expect(buckets.list()[0].held).to.equal(0)
   })
 
   it('follow a limit that is lowered, and forget one that is withdrawn', () => {
     const { timers, buckets, buildReport, findLevel, quotas } = createLeader()
-    buckets.settle(buildReport())
+    buckets.applyReport(buildReport())
     timers.advance(10_000)
     quotas[KEY] = { ...QUOTA, perSecond: 100, burst: 100 }
-    buckets.settle(buildReport())
+    buckets.applyReport(buildReport())
     expect(findLevel()).to.be.at.most(100 + PRESUMED)
     quotas[KEY] = undefined
-    buckets.settle(buildReport())
+    buckets.applyReport(buildReport())
     expect(buckets.list()).to.deep.equal([])
   })
 
   it('count what routers hold of a limit that was withdrawn and came back', () => {
     const { timers, buckets, buildReport, findLevel, quotas } = createLeader()
     timers.advance(10_000)
-    buckets.settle(buildReport({ waiting: [700] }))
+    buckets.applyReport(buildReport({ waiting: [700] }))
     quotas[KEY] = undefined
-    buckets.settle(buildReport({}, { router: 'r2', life: 'b' }))
+    buckets.applyReport(buildReport({}, { router: 'r2', life: 'b' }))
     quotas[KEY] = QUOTA
-    buckets.settle(buildReport({}, { router: 'r2', life: 'b' }))
+    buckets.applyReport(buildReport({}, { router: 'r2', life: 'b' }))
     expect(buckets.list()[0].held).to.equal(700)
     timers.advance(3_000)
     expect(findLevel()).to.be.at.most(QUOTA.burst - 700 + PRESUMED)
--- a/packages/control/src/__tests__/rateLimitAllocator.spec.ts
+++ b/packages/control/src/__tests__/rateLimitAllocator.spec.ts
@@ -5,19 +5,19 @@
 const ROUTERS = Array.from({ length: 12 }, (_, index) => `r${index}`)
 const SETTLED_MS = 2_000
 
-function createDivision(routers: readonly string[] = ROUTERS) {
+function createAllocator(routers: readonly string[] = ROUTERS) {
   const timers = createManualTimerService()
   const known = { routers: [...routers], servers: new Set(['s1', 's2']) }
-  const parts = createRateLimitAllocator({
+  const allocator = createRateLimitAllocator({
     timers,
     listRouters: () => known.routers,
     isRegistered: (server) => known.servers.has(server),
   })
   const report = (perSecond: number | null, ageMs = 0) =>
-    parts.record([{ server: 's1', perSecond, ageMs }])
+    allocator.record([{ server: 's1', perSecond, ageMs }])
   /** Parts of the first server by router, without those that have none. */
   const listParts = () => {
-    const all = known.routers.map((router) => [router, parts.buildUpdate(router)] as const)
+    const all = known.routers.map((router) => [router, allocator.buildUpdate(router)] as const)
     return new Map(
       all.flatMap(([router, { servers }]) => {
         const part = servers.find(({ server }) => server === 's1')?.part
@@ -25,13 +25,13 @@
       }),
     )
   }
-  return { timers, known, parts, report, listParts }
+  return { timers, known, parts: allocator, report, listParts }
 }
 
 describe('the division of a rate limit among routers', () => {
   for (const perSecond of [0, 0.2, 1.7, 4, 2_000]) {
     it(`assigns the whole of ${perSecond} a second, and no more`, () => {
-      const { timers, report, listParts } = createDivision()
+      const { timers, report, listParts } = createAllocator()
       timers.advance(SETTLED_MS)
       report(perSecond)
       const parts = [...listParts().values()]
@@ -41,7 +41,7 @@
   }
 
   it('assigns nothing before routers have polled a new leader', () => {
-    const { timers, parts, report } = createDivision()
+    const { timers, parts, report } = createAllocator()
     report(2)
     expect(parts.buildUpdate('r1').hasParts).to.equal(false)
     const before = parts.revision()
@@ -51,7 +51,7 @@
   })
 
   it('moves only the parts of routers that leave', () => {
-    const { timers, known, report, listParts } = createDivision()
+    const { timers, known, report, listParts } = createAllocator()
     timers.advance(SETTLED_MS)
     report(3)
     const before = listParts()
@@ -64,7 +64,7 @@
   })
 
   it('goes to other routers where nobody uses it', () => {
-    const { timers, report, listParts } = createDivision()
+    const { timers, report, listParts } = createAllocator()
     timers.advance(SETTLED_MS)
     report(0.5)
     const chosen = new Set(listParts().keys())
@@ -76,7 +76,7 @@
   })
 
   it('stays with the routers that use it', () => {
-    const { timers, report, listParts } = createDivision()
+    const { timers, report, listParts } = createAllocator()
     timers.advance(SETTLED_MS)
     report(0.5)
     const before = [...listParts().keys()]
@@ -88,7 +88,7 @@
   })
 
   it('takes the newest report, in whatever order they arrive', () => {
-    const { timers, parts, report } = createDivision()
+    const { timers, parts, report } = createAllocator()
     timers.advance(SETTLED_MS)
     report(null, 100)
     report(2, 500)
@@ -100,7 +100,7 @@
   })
 
   it('forgets servers that are gone, and limits that were withdrawn long ago', () => {
-    const { timers, known, parts, report } = createDivision()
+    const { timers, known, parts, report } = createAllocator()
     timers.advance(SETTLED_MS)
     report(2)
     known.servers.delete('s1')
--- a/packages/control/src/__tests__/weightsRollout.spec.ts
+++ b/packages/control/src/__tests__/weightsRollout.spec.ts
@@ -45,7 +45,7 @@
     this.rollout = createWeightsRollout({
       member,
       machine: this.machine,
-      orders: {
+      engineClient: {
         fetchReport: async ({ id }) => ({ ...(this.engines.get(id) as TestEngine) }),
         sendLoad: async ({ id, name }, order) => {
           const mark = this.machine.loads.find(name)
@@ -59,7 +59,7 @@
       logger: createQuietLogger(),
       orderLeaseMs: ORDER_LEASE_MS,
       sumLoads: () => ({}),
-      findSilenceMs: () => 0,
+      findHeartbeatAgeMs: () => 0,
     })
   }
 
@@ -208,7 +208,7 @@
     const watch = createServerMonitor({
       machine,
       timers,
-      findSilenceMs: () => 0,
+      findHeartbeatAgeMs: () => 0,
       silentAfterMs: 1_000,
       weightsExpireMs: 7_000,
     })
--- a/packages/control/src/registry/engineClient.ts
+++ b/packages/control/src/registry/engineClient.ts
@@ -20,11 +20,11 @@
   readonly model: string
   readonly version: number
   /** Instance that gives the order. */
-  readonly holder: string
+  readonly issuer: string
   /** Rises with each order, over all leaders. */
   readonly fencing: number
   /** Whether requests that run go on under the new weights; otherwise the load waits for them. */
-  readonly isKeepingRuns: boolean
+  readonly keepsRunningRequests: boolean
   /** Orders that the engine must have taken before; otherwise it refuses. */
   readonly expectedOrders: number
 }
--- a/packages/control/src/registry/feedFollower.ts
+++ b/packages/control/src/registry/feedFollower.ts
@@ -215,12 +215,12 @@
   }
   const search = createInstanceSearch({
     listInstances,
-    ask: askInstance,
+    send: askInstance,
     timers,
     random: options.random,
     logger,
-    searchEvent: 'control.searching',
-    listState: () => ({
+    logEvent: 'control.searching',
+    describeState: () => ({
       tableVersion: held.view()?.index.table.version,
       proofAgeMs: Math.round(timers.promiseNow() - provenAt),
       term: held.position().term,
@@ -228,7 +228,7 @@
     stopping: stopping.signal,
   })
   const pollLeader = async (url: string) => {
-    const answered = await search.askFirst(url, findWaitMs(url) + ANSWER_MS)
+    const answered = await search.requestFrom(url, findWaitMs(url) + ANSWER_MS)
     if (answered || stopping.signal.aborted) return answered
     const proofAgeMs = Math.round(timers.promiseNow() - provenAt)
     logger.warn('control.lost', { url, term: held.position().term, proofAgeMs })
--- a/packages/control/src/registry/feedSource.ts
+++ b/packages/control/src/registry/feedSource.ts
@@ -181,7 +181,7 @@
     placements.add(request.router, request.placements)
     loads.record(request.router, request.loads)
     limits.record(request.limits ?? [])
-    if (request.quotas) options.quotas.settle(request.quotas)
+    if (request.quotas) options.quotas.applyReport(request.quotas)
     return request.blame && blame.record(request.blame)
   }
   const findTableVersion = () => machine.table.current()?.version ?? NO_TABLE_VERSION
@@ -216,7 +216,7 @@
       tableVersion: findTableVersion(),
       tableUpdate: findTableUpdate(request),
       routers: loads.countRouters(),
-      loads: loads.sumOthers(request.router),
+      loads: loads.sumExcept(request.router),
       placements: placements.listSince(
         request.router,
         isOfTerm(request) ? request.placementsSeen : 0,
@@ -256,13 +256,13 @@
     grantQuotas: (report) => {
       checkLeading()
       beginTerm()
-      return options.quotas.settle(report)
+      return options.quotas.applyReport(report)
     },
     listQuotas: () => {
       checkLeading()
       return options.quotas.list()
     },
     addKept: (placed) => changesOfKept.add(NOBODY, placed),
-    sumLoads: () => loads.sumOthers(undefined),
+    sumLoads: () => loads.sumExcept(undefined),
   }
 }
--- a/packages/control/src/registry/fleetOperations.ts
+++ b/packages/control/src/registry/fleetOperations.ts
@@ -94,13 +94,13 @@
     input: FleetOperations[Name]['input'],
   ): Promise<FleetOperations[Name]['output']>
   /** Runs an operation here; for the leader only. */
-  runHere(name: string, input: unknown): Promise<unknown>
+  runLocally(name: string, input: unknown): Promise<unknown>
   /** Ms since this leader last received a heartbeat of a server, or since it leads. */
-  findSilenceMs(id: BackendServerId): number
+  findHeartbeatAgeMs(id: BackendServerId): number
 }
 
 /** Incarnations whose last heartbeat is remembered: several times those of a large fleet. */
-const MAX_HEARD = 5_000
+const MAX_TRACKED_SERVERS = 5_000
 /** Longest wait for the leader, in ms: callers turn to another instance after a second. */
 const LEADER_TIMEOUT_MS = 850
 
@@ -115,7 +115,7 @@
   options: FleetOperationRunnerOptions,
 ): FleetOperationRunner {
   const { member, machine, client, timers, logger } = options
-  const receivedAt = new LRUCache<BackendServerId, number>({ max: MAX_HEARD })
+  const receivedAt = new LRUCache<BackendServerId, number>({ max: MAX_TRACKED_SERVERS })
   let leadingTerm: number | undefined
   let leadingSince = timers.now()
   /** Heartbeats went to the leader before, so silence counts from the start of this leadership. */
@@ -127,22 +127,22 @@
     return leadingSince
   }
 
-  const findSilenceMs = (id: BackendServerId) =>
+  const findHeartbeatAgeMs = (id: BackendServerId) =>
     timers.now() - Math.max(receivedAt.get(id) ?? -Infinity, findLeadingSince())
   const signals = createServerSignals({
     servers: machine.servers,
     timers,
     logger,
     silentAfterMs: options.silentAfterMs,
-    findSilenceMs,
+    findHeartbeatAgeMs,
   })
-  const puts = createTablePuts({ member, table: machine.table, logger })
+  const tablePuts = createTablePuts({ member, table: machine.table, logger })
   /** An unknown group names no server to use; one that is registered stays registered. */
-  const isUsable = ({ id, group }: RegisteredServer) =>
+  const isAcceptable = ({ id, group }: RegisteredServer) =>
     options.isKnownGroup(group) || machine.servers.find(id) !== undefined
-  const observe: Handlers['observeServer'] = async ({ server, count }) => {
+  const observeServer: Handlers['observeServer'] = async ({ server, count }) => {
     const { id, name, group } = server
-    if (!isUsable(server)) {
+    if (!isAcceptable(server)) {
       options.rejectedInputs.record({
         source: 'heartbeat',
         from: name,
@@ -151,7 +151,7 @@
       return { phase: server.phase }
     }
     const known = machine.servers.find(id)
-    if (!signals.isCurrent(server, count)) return { phase: known?.phase ?? 'gone' }
+    if (!signals.admitHeartbeat(server, count)) return { phase: known?.phase ?? 'gone' }
     receivedAt.set(id, timers.now())
     if (known && isSameServer(known, mergeServer(known, server))) return { phase: known.phase }
     logger.info('server.observed', {
@@ -167,7 +167,7 @@
   const handlers: Handlers = {
     putTable: async ({ whole }) => {
       const table = applyTableUpdate(undefined, whole)
-      if (table) return puts.put(table)
+      if (table) return tablePuts.put(table)
       throw new SpoolgateError('invalidRequest', 'the table came damaged; send it again whole')
     },
     readTable: async ({ heldVersion }) => {
@@ -182,9 +182,9 @@
       logger.info('weights.named', { ...input, wanted: result.version })
       return result
     },
-    observeServer: observe,
+    observeServer,
     retireServer: async ({ name, startedAt }) => {
-      const leaving = signals.findLeaving(name, startedAt)
+      const leaving = signals.resolveLeave(name, startedAt)
       if (!leaving) return { phase: machine.servers.findByName(name)?.phase ?? 'gone' }
       const { id } = leaving
       const command = { kind: 'server.retire', id, phase: 'gone' } as const
@@ -193,7 +193,7 @@
       return result
     },
   }
-  const runHere = async (name: string, input: unknown): Promise<unknown> => {
+  const runLocally = async (name: string, input: unknown): Promise<unknown> => {
     const handler = handlers[name as FleetOperationName] as
       ((input: unknown) => Promise<unknown>) | undefined
     if (!handler)
@@ -202,7 +202,7 @@
   }
   const runAtLeader = async (name: string, input: unknown): Promise<unknown> => {
     const { role, leaderUrl } = member.status()
-    if (role === 'leader') return runHere(name, input)
+    if (role === 'leader') return runLocally(name, input)
     if (leaderUrl === undefined) {
       throw new SpoolgateError('controlUnavailable', 'no leader is known now; try again', {
         notRun: false,
@@ -218,7 +218,7 @@
   }
   return {
     run: (name, input) => runAtLeader(name, input) as Promise<never>,
-    runHere,
-    findSilenceMs,
+    runLocally,
+    findHeartbeatAgeMs,
   }
 }
--- a/packages/control/src/registry/loadAggregator.ts
+++ b/packages/control/src/registry/loadAggregator.ts
@@ -14,7 +14,7 @@
   /** Counts the routers that polled lately. */
   countRouters(): number
   /** Sums up what all routers but one have in progress; undefined leaves none out. */
-  sumOthers(router: string | undefined): ServerLoads
+  sumExcept(router: string | undefined): ServerLoads
 }
 
 /** Options of {@link createLoadAggregator}. */
@@ -26,12 +26,12 @@
 
 interface RouterLoads {
   readonly loads: ServerLoads
-  readonly at: number
+  readonly polledAt: number
   /** When it last had work; -Infinity for never. */
   readonly busyAt: number
 }
 
-const NO_LOAD: ServerLoad = { calls: 0, promptTokens: 0 }
+const ZERO_LOAD: ServerLoad = { calls: 0, promptTokens: 0 }
 
 function addLoad(a: ServerLoad, b: ServerLoad, sign: 1 | -1): ServerLoad {
   const backoffs = (a.backoffs ?? 0) + sign * (b.backoffs ?? 0)
@@ -42,7 +42,7 @@
   }
 }
 
-function isNothing({ calls, promptTokens, backoffs }: ServerLoad): boolean {
+function isZero({ calls, promptTokens, backoffs }: ServerLoad): boolean {
   return calls === 0 && promptTokens === 0 && backoffs === undefined
 }
 
@@ -57,8 +57,8 @@
 
   const applyLoads = (loads: ServerLoads, sign: 1 | -1) => {
     for (const [server, load] of Object.entries(loads)) {
-      const sum = addLoad(total.get(server) ?? NO_LOAD, load, sign)
-      if (isNothing(sum)) total.delete(server)
+      const sum = addLoad(total.get(server) ?? ZERO_LOAD, load, sign)
+      if (isZero(sum)) total.delete(server)
       else total.set(server, sum)
     }
   }
@@ -69,9 +69,9 @@
     applyLoads(known.loads, -1)
   }
   const removeSilent = () => {
-    const oldest = timers.now() - routerLifeMs
-    for (const [router, { at }] of routers) {
-      if (at >= oldest) return
+    const cutoff = timers.now() - routerLifeMs
+    for (const [router, { polledAt }] of routers) {
+      if (polledAt >= cutoff) return
       remove(router)
     }
   }
@@ -81,14 +81,14 @@
       const isBusy = Object.values(loads).some(({ calls }) => calls > 0)
       const busyAt = isBusy ? now : (routers.get(router)?.busyAt ?? -Infinity)
       remove(router)
-      routers.set(router, { loads, at: now, busyAt })
+      routers.set(router, { loads, polledAt: now, busyAt })
       applyLoads(loads, 1)
     },
     listBusyRouters: () => {
       removeSilent()
-      const oldest = timers.now() - routerLifeMs
+      const cutoff = timers.now() - routerLifeMs
       const busy = [...routers].flatMap(([router, { busyAt }]) =>
-        busyAt >= oldest ? [router] : [],
+        busyAt >= cutoff ? [router] : [],
       )
       return busy.length > 0 ? busy : [...routers.keys()]
     },
@@ -96,13 +96,13 @@
       removeSilent()
       return routers.size
     },
-    sumOthers: (router) => {
+    sumExcept: (router) => {
       removeSilent()
       const own = (router === undefined ? undefined : routers.get(router)?.loads) ?? {}
       const others: Record<string, ServerLoad> = {}
       for (const [server, sum] of total) {
-        const load = addLoad(sum, own[server] ?? NO_LOAD, -1)
-        if (!isNothing(load)) others[server] = load
+        const load = addLoad(sum, own[server] ?? ZERO_LOAD, -1)
+        if (!isZero(load)) others[server] = load
       }
       return others
     },
--- a/packages/control/src/registry/orderLeases.ts
+++ b/packages/control/src/registry/orderLeases.ts
@@ -20,9 +20,9 @@
   /** Notes that this instance leads from now on. */
   startLeading(): void
   /** Notes that the engine gets orders from this leader from now on. */
-  take(server: ServerName): void
+  acquire(server: ServerName): void
   /** Whether the orders of an earlier leader to the engine no longer count. */
-  isFree(server: ServerName): boolean
+  isAvailable(server: ServerName): boolean
   close(): void
 }
 
@@ -33,26 +33,27 @@
 export function createOrderLeases(options: OrderLeasesOptions): OrderLeases {
   const { loads, timers, orderLeaseMs } = options
   /** When this instance saw the mark of an engine change. */
-  const seenAt = new Map<ServerName, number>()
-  const taken = new Set<ServerName>()
+  const markChangedAt = new Map<ServerName, number>()
+  const acquired = new Set<ServerName>()
   let leadingSince = timers.now()
 
-  const noteChange = (server: ServerName) => void seenAt.set(server, timers.now())
-  for (const [server] of loads.list()) noteChange(server)
-  const watch = loads.changes.subscribe(noteChange)
+  const recordChange = (server: ServerName) => void markChangedAt.set(server, timers.now())
+  for (const [server] of loads.list()) recordChange(server)
+  const subscription = loads.changes.subscribe(recordChange)
   /** When the last order of an earlier leader may have been sent. */
   const findLastOrderAt = (server: ServerName): number => {
     const mark = loads.find(server)
-    if (mark === undefined || taken.has(server)) return -Infinity
-    return mark === 'open' ? leadingSince : (seenAt.get(server) ?? leadingSince)
+    if (mark === undefined || acquired.has(server)) return -Infinity
+    return mark === 'open' ? leadingSince : (markChangedAt.get(server) ?? leadingSince)
   }
   return {
     startLeading: () => {
       leadingSince = timers.now()
-      taken.clear()
+      acquired.clear()
     },
-    take: (server) => void taken.add(server),
-    isFree: (server) => timers.now() >= findLastOrderAt(server) + orderLeaseMs + LEASE_MARGIN_MS,
-    close: () => watch.unsubscribe(),
+    acquire: (server) => void acquired.add(server),
+    isAvailable: (server) =>
+      timers.now() >= findLastOrderAt(server) + orderLeaseMs + LEASE_MARGIN_MS,
+    close: () => subscription.unsubscribe(),
   }
 }
--- a/packages/control/src/registry/placementLog.ts
+++ b/packages/control/src/registry/placementLog.ts
@@ -24,25 +24,25 @@
 export function createPlacementLog(): PlacementLog {
   let entries: Entry[] = []
   /** Number of the entry before the first that is kept. */
-  let base = 0
+  let removedCount = 0
   return {
     add: (router, placements) => {
       for (const placement of placements) entries.push({ router, placement })
       const surplus = entries.length - MAX_ENTRIES
       if (surplus <= 0) return
       entries = entries.slice(surplus)
-      base += surplus
+      removedCount += surplus
     },
     listSince: (router, seen) =>
       entries
-        .slice(Math.max(0, seen - base))
+        .slice(Math.max(0, seen - removedCount))
         .filter((entry) => entry.router !== router)
         .slice(-MAX_PLACEMENTS_PER_REPLY)
         .map(({ placement }) => placement),
-    last: () => base + entries.length,
+    last: () => removedCount + entries.length,
     reset: () => {
       entries = []
-      base = 0
+      removedCount = 0
     },
   }
 }
--- a/packages/control/src/registry/quotaBuckets.ts
+++ b/packages/control/src/registry/quotaBuckets.ts
@@ -29,7 +29,7 @@
   /** Begins a term: nothing is known of what earlier leaders granted. */
   reset(term: number): void
   /** Applies a report and grants credits. */
-  settle(report: QuotaReport): QuotaGrants
+  applyReport(report: QuotaReport): QuotaGrants
   /** Lists what was granted so far of the teams that a settled report names. */
   listGrants(report: QuotaReport): QuotaGrants
   list(): readonly QuotaStatus[]
@@ -42,16 +42,16 @@
 /** Part of a bucket that one router may prefetch. */
 const PREFETCH_RATIO = 0.1
 /** Part of the tolerance that a new leader presumes to be left. */
-const NEW_TERM_RATIO = 0.8
+const NEW_TERM_TOLERANCE_RATIO = 0.8
 /** Part of the tolerance that a bucket holds for use that is not reported yet. */
-const UNREPORTED_RATIO = 0.2
+const UNREPORTED_TOLERANCE_RATIO = 0.2
 /** Bounds of the time after which refused callers return, in ms. */
 const MIN_RETRY_MS = 150
 const MAX_RETRY_MS = 10_000
 /** Time over which demand is averaged, in ms. */
-const DEMAND_MEMORY_MS = 1_000
+const DEMAND_DECAY_MS = 1_000
 /** Time between two looks at all teams for those that are scarce, in ms. */
-const SCARCE_PERIOD_MS = 20
+const SCARCE_SCAN_PERIOD_MS = 20
 const MS_PER_S = 1_000
 
 interface RouterCredits {
@@ -62,7 +62,7 @@
   refused: number
 }
 
-interface RouterLife {
+interface RouterIncarnation {
   readonly life: string
   sequence: number
   reportedAt: number
@@ -89,44 +89,44 @@
 export function createQuotaBuckets(options: QuotaBucketsOptions): QuotaBuckets {
   const { timers, findQuota, tolerance } = options
   const buckets = new Map<string, Bucket>()
-  const routers = new Map<string, RouterLife>()
+  const routers = new Map<string, RouterIncarnation>()
   let term = -1
   let termBeganAt = timers.now()
   /** Part of each rate that is not left to silent routers. */
   let activeRatio = 1
   const scarce = new Set<string>()
-  let scarceAt = -Infinity
+  let scarceScannedAt = -Infinity
 
-  const findTolerated = (quota: TeamQuota, part: number): number => {
+  const findToleratedAmount = (quota: TeamQuota, part: number): number => {
     const inWindow = (quota.perSecond * tolerance.windowMs) / MS_PER_S + quota.burst
     return part * (tolerance.ratio * inWindow + tolerance.slack)
   }
   /** What was used and not reported yet would be lost to a bucket that looks full. */
-  const findUnreported = (quota: TeamQuota): number => {
+  const estimateUnreported = (quota: TeamQuota): number => {
     const atFullRate = (quota.perSecond * estimateReportLagMs(routers.size)) / MS_PER_S
-    return Math.min(atFullRate, findTolerated(quota, UNREPORTED_RATIO))
+    return Math.min(atFullRate, findToleratedAmount(quota, UNREPORTED_TOLERANCE_RATIO))
   }
   /** An earlier leader may have granted all of a burst within the last window. */
-  const findFirstLevel = (quota: TeamQuota, now: number): number => {
+  const findInitialLevel = (quota: TeamQuota, now: number): number => {
     if (now - termBeganAt >= tolerance.windowMs) return findCapacity(quota)
-    return Math.min(findCapacity(quota), findTolerated(quota, NEW_TERM_RATIO))
+    return Math.min(findCapacity(quota), findToleratedAmount(quota, NEW_TERM_TOLERANCE_RATIO))
   }
   const fill = (bucket: Bucket, now: number) => {
     const { quota, outstanding } = bucket
-    const passedMs = Math.max(0, now - bucket.filledAt)
-    const filled = bucket.level + (quota.perSecond * activeRatio * passedMs) / MS_PER_S
-    const most = findCapacity(quota) + findUnreported(quota) - Math.max(0, outstanding)
-    bucket.level = Math.min(filled, most)
-    const kept = Math.exp(-passedMs / DEMAND_MEMORY_MS)
-    bucket.refused *= kept
-    bucket.granted *= kept
+    const elapsedMs = Math.max(0, now - bucket.filledAt)
+    const filled = bucket.level + (quota.perSecond * activeRatio * elapsedMs) / MS_PER_S
+    const maxLevel = findCapacity(quota) + estimateUnreported(quota) - Math.max(0, outstanding)
+    bucket.level = Math.min(filled, maxLevel)
+    const decay = Math.exp(-elapsedMs / DEMAND_DECAY_MS)
+    bucket.refused *= decay
+    bucket.granted *= decay
     bucket.filledAt = now
   }
   const sumOutstanding = (key: string): number =>
     [...routers.values()].reduce((sum, { teams }) => sum + (teams.get(key)?.outstanding ?? 0), 0)
   const createBucket = (key: string, quota: TeamQuota, now: number): Bucket => ({
     quota,
-    level: findFirstLevel(quota, now),
+    level: findInitialLevel(quota, now),
     filledAt: now,
     outstanding: sumOutstanding(key),
     refused: 0,
@@ -150,7 +150,7 @@
     }
     return bucket
   }
-  const removeLife = (router: string) => {
+  const removeRouter = (router: string) => {
     for (const [key, { outstanding }] of routers.get(router)?.teams ?? []) {
       const bucket = buckets.get(key)
       if (bucket) bucket.outstanding -= outstanding
@@ -158,24 +158,24 @@
     routers.delete(router)
   }
   /** Credits of routers that are silent for their life are void there too; they count as used. */
-  const settleSilence = (now: number) => {
+  const updateActiveRatio = (now: number) => {
     const silenceMs = findContactTimeoutMs(routers.size)
     let silent = 0
     for (const [router, { reportedAt }] of routers) {
-      if (now - reportedAt > CREDIT_TTL_MS) removeLife(router)
+      if (now - reportedAt > CREDIT_TTL_MS) removeRouter(router)
       else if (now - reportedAt > silenceMs) silent += 1
     }
     activeRatio = routers.size === 0 ? 1 : 1 - silent / routers.size
   }
-  const findLife = ({ router, life }: QuotaReport, now: number): RouterLife => {
+  const resolveIncarnation = ({ router, life }: QuotaReport, now: number): RouterIncarnation => {
     const known = routers.get(router)
     if (known?.life === life) return known
-    removeLife(router)
-    const created: RouterLife = { life, sequence: -1, reportedAt: now, teams: new Map() }
+    removeRouter(router)
+    const created: RouterIncarnation = { life, sequence: -1, reportedAt: now, teams: new Map() }
     routers.set(router, created)
     return created
   }
-  const findCredits = (life: RouterLife, use: CreditUse): RouterCredits => {
+  const resolveCredits = (life: RouterIncarnation, use: CreditUse): RouterCredits => {
     const known = life.teams.get(use.key)
     if (known) return known
     const credits = { granted: 0, returned: use.returned, outstanding: 0, refused: 0 }
@@ -189,8 +189,13 @@
     credits.granted += amount
     credits.outstanding += amount
   }
-  const recordUse = (bucket: Bucket, credits: RouterCredits, use: CreditUse, isOfTerm: boolean) => {
-    const seen = isOfTerm ? use.seen : 0
+  const recordUse = (
+    bucket: Bucket,
+    credits: RouterCredits,
+    use: CreditUse,
+    isCurrentTerm: boolean,
+  ) => {
+    const seen = isCurrentTerm ? use.seen : 0
     const outstanding = credits.granted - seen + use.held
     bucket.outstanding += outstanding - credits.outstanding
     credits.outstanding = outstanding
@@ -213,30 +218,30 @@
   }
   /** A team has room while the bucket is well filled, and holds what routers use until they report it. */
   const isScarce = ({ level, granted, outstanding, quota }: Bucket) => {
-    const unreported = (granted * estimateReportLagMs(routers.size)) / DEMAND_MEMORY_MS
+    const unreported = (granted * estimateReportLagMs(routers.size)) / DEMAND_DECAY_MS
     const room = findCapacity(quota) - Math.max(0, outstanding)
     return level < Math.max(SCARCE_RATIO * room, unreported)
   }
   const grantPrefetch = (bucket: Bucket, credits: RouterCredits, prefetch: number) => {
     if (isScarce(bucket)) return
     const wanted = prefetch - Math.max(0, credits.outstanding)
-    const most = PREFETCH_RATIO * bucket.level
-    if (wanted > 0) grant(bucket, credits, Math.min(wanted, most))
+    const maxPrefetch = PREFETCH_RATIO * bucket.level
+    if (wanted > 0) grant(bucket, credits, Math.min(wanted, maxPrefetch))
   }
   const findRetryMs = ({ level, refused, quota }: Bucket): number => {
     const waitMs = ((Math.max(0, -level) + refused) / quota.perSecond) * MS_PER_S
     return Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, Math.round(waitMs)))
   }
-  const settleUse = (
-    life: RouterLife,
+  const applyUse = (
+    life: RouterIncarnation,
     use: CreditUse,
-    isOfTerm: boolean,
+    isCurrentTerm: boolean,
     now: number,
   ): CreditGrant[] => {
     const bucket = findBucket(use.key, now)
     if (!bucket) return []
-    const credits = findCredits(life, use)
-    recordUse(bucket, credits, use, isOfTerm)
+    const credits = resolveCredits(life, use)
+    recordUse(bucket, credits, use, isCurrentTerm)
     grantWaiting(bucket, credits, use.waiting)
     grantPrefetch(bucket, credits, use.prefetch)
     markScarce(use.key, bucket)
@@ -248,20 +253,20 @@
     else scarce.delete(key)
   }
   const listScarce = (now: number) => {
-    if (now - scarceAt >= SCARCE_PERIOD_MS) {
-      scarceAt = now
+    if (now - scarceScannedAt >= SCARCE_SCAN_PERIOD_MS) {
+      scarceScannedAt = now
       for (const key of [...buckets.keys()]) markScarce(key, findBucket(key, now))
     }
     return [...scarce]
   }
-  const settleReport = (report: QuotaReport, now: number): CreditGrant[] => {
-    const life = findLife(report, now)
+  const applyRouterReport = (report: QuotaReport, now: number): CreditGrant[] => {
+    const life = resolveIncarnation(report, now)
     life.reportedAt = now
-    settleSilence(now)
+    updateActiveRatio(now)
     // Reports overtake each other on their connections: what an older one says is no longer so.
     if (report.sequence <= life.sequence) return []
     life.sequence = report.sequence
-    return report.uses.flatMap((use) => settleUse(life, use, report.term === term, now))
+    return report.uses.flatMap((use) => applyUse(life, use, report.term === term, now))
   }
   const buildGrants = (report: QuotaReport, grants: readonly CreditGrant[], now: number) => ({
     term,
@@ -270,17 +275,17 @@
     scarce: listScarce(now),
   })
   return {
-    reset: (next) => {
-      term = next
+    reset: (newTerm) => {
+      term = newTerm
       termBeganAt = timers.now()
       buckets.clear()
       routers.clear()
       scarce.clear()
-      scarceAt = -Infinity
+      scarceScannedAt = -Infinity
     },
-    settle: (report) => {
+    applyReport: (report) => {
       const now = timers.now()
-      return buildGrants(report, settleReport(report, now), now)
+      return buildGrants(report, applyRouterReport(report, now), now)
     },
     listGrants: (report) => {
       const now = timers.now()
@@ -295,7 +300,7 @@
     },
     list: () => {
       const now = timers.now()
-      settleSilence(now)
+      updateActiveRatio(now)
       const listByRouter = (key: string, pick: (credits: RouterCredits) => number) =>
         Object.fromEntries(
           [...routers].flatMap(([router, { teams }]) => {
--- a/packages/control/src/registry/rateLimitAllocator.ts
+++ b/packages/control/src/registry/rateLimitAllocator.ts
@@ -27,15 +27,15 @@
 }
 
 /** Least rate of one router's part, in requests a second. */
-const MIN_PART_RATE = 0.75
+const MIN_SHARE_RATE = 0.75
 /** Time after which a new leader assigns parts, in ms: routers have polled it and keep their former parts until then. */
-const SETTLE_MS = 1_500
+const FIRST_ASSIGNMENT_DELAY_MS = 1_500
 /** Time between two looks at the routers, in ms. */
 const REFRESH_PERIOD_MS = 250
 /** Time without an observation after which other routers get the rate of a server, in ms. */
-const UNUSED_AFTER_MS = 6_000
+const REASSIGN_UNUSED_AFTER_MS = 6_000
 /** Time for which the end of a limit is remembered, in ms. */
-const WITHDRAWN_LIFE_MS = 60_000
+const WITHDRAWN_TTL_MS = 60_000
 /** Servers whose limits are kept: several times those of a large fleet. */
 const MAX_LIMITS = 5_000
 
@@ -50,8 +50,8 @@
   routers: ReadonlySet<string>
 }
 
-function countParts(perSecond: number, known: number): number {
-  return Math.min(known, Math.max(1, Math.ceil(perSecond / MIN_PART_RATE)))
+function countShares(perSecond: number, known: number): number {
+  return Math.min(known, Math.max(1, Math.ceil(perSecond / MIN_SHARE_RATE)))
 }
 
 function chooseRouters(server: string, entry: LimitEntry, routers: readonly string[]): Set<string> {
@@ -59,7 +59,7 @@
   const seed = hashText(`${server}/${entry.round}`)
   const scored = routers.map((router) => ({ router, score: hashText(router, seed) }))
   scored.sort((a, b) => b.score - a.score || (a.router < b.router ? -1 : 1))
-  const count = countParts(entry.perSecond, routers.length)
+  const count = countShares(entry.perSecond, routers.length)
   return new Set(scored.slice(0, count).map(({ router }) => router))
 }
 
@@ -71,16 +71,16 @@
   let startedAt = timers.now()
   let refreshedAt = -Infinity
   let routers: readonly string[] = []
-  let isSettled = false
+  let areSharesAssigned = false
 
   const assign = (server: string, entry: LimitEntry) => {
     entry.routers = chooseRouters(server, entry, routers)
     entry.assignedAt = timers.now()
     revision += 1
   }
-  const removeOld = (now: number) => {
+  const removeExpired = (now: number) => {
     for (const [server, { perSecond, at }] of entries) {
-      const isForgotten = perSecond === null && now - at > WITHDRAWN_LIFE_MS
+      const isForgotten = perSecond === null && now - at > WITHDRAWN_TTL_MS
       if (!isForgotten && isRegistered(server)) continue
       entries.delete(server)
       revision += 1
@@ -88,15 +88,16 @@
   }
   const refreshRouters = () => {
     const next = [...listRouters()].sort()
-    const isSame = next.length === routers.length && next.every((name, i) => name === routers[i])
-    if (isSame) return
+    const isUnchanged =
+      next.length === routers.length && next.every((name, i) => name === routers[i])
+    if (isUnchanged) return
     routers = next
     for (const [server, entry] of entries) assign(server, entry)
   }
   const reassignUnused = (now: number) => {
     for (const [server, entry] of entries) {
       if (entry.perSecond === null) continue
-      if (now - Math.max(entry.at, entry.assignedAt) < UNUSED_AFTER_MS) continue
+      if (now - Math.max(entry.at, entry.assignedAt) < REASSIGN_UNUSED_AFTER_MS) continue
       entry.round += 1
       assign(server, entry)
     }
@@ -105,12 +106,12 @@
     const now = timers.now()
     if (now - refreshedAt < REFRESH_PERIOD_MS) return
     refreshedAt = now
-    if (!isSettled && now - startedAt >= SETTLE_MS) {
-      isSettled = true
+    if (!areSharesAssigned && now - startedAt >= FIRST_ASSIGNMENT_DELAY_MS) {
+      areSharesAssigned = true
       revision += 1
     }
     if (entries.size === 0) return
-    removeOld(now)
+    removeExpired(now)
     refreshRouters()
     reassignUnused(now)
   }
@@ -138,7 +139,7 @@
     reset: () => {
       entries.clear()
       startedAt = timers.now()
-      isSettled = false
+      areSharesAssigned = false
       revision += 1
     },
     record: (reports) => {
@@ -155,10 +156,10 @@
       const now = timers.now()
       const servers = [...entries].map(([server, entry]): LimitNews => {
         const { perSecond, at } = entry
-        const news = { server, perSecond, ageMs: Math.max(0, Math.round(now - at)) }
-        return entry.routers.has(router) ? { ...news, part: 1 / entry.routers.size } : news
+        const update = { server, perSecond, ageMs: Math.max(0, Math.round(now - at)) }
+        return entry.routers.has(router) ? { ...update, part: 1 / entry.routers.size } : update
       })
-      return { hasParts: isSettled, servers }
+      return { hasParts: areSharesAssigned, servers }
     },
   }
 }
--- a/packages/control/src/registry/registryControl.ts
+++ b/packages/control/src/registry/registryControl.ts
@@ -64,7 +64,7 @@
   readonly isFirstStart: boolean
   /** Voters that the group should have. */
   readonly wantedVoters: number
-  readonly orders: EngineClient
+  readonly engineClient: EngineClient
   readonly cacheCalls: CacheCalls
   /** Decodes the operators' document. */
   readonly decodeTable: (document: string) => RoutingTable
@@ -99,7 +99,7 @@
   readonly member: RaftMember
   readonly machine: ControlMachine
   /** Runs what operators and backend servers ask for. */
-  readonly operator: FleetOperationRunner
+  readonly operations: FleetOperationRunner
   /** The routing table for operators. */
   readonly table: TableAccess
   /** Renders the metrics. */
@@ -165,7 +165,7 @@
     snapshotEvery: SNAPSHOT_EVERY,
     startedAt: options.startedAt,
   })
-  const keeper = createGroupKeeper({
+  const groupKeeper = createGroupKeeper({
     member,
     name: identity.name,
     url,
@@ -186,7 +186,7 @@
     'Entries from outside that could not be used',
   )
   options.rejectedInputs.entries.subscribe(({ source }) => rejectedInputs.add(1, { source }))
-  const operator = createFleetOperationRunner({
+  const operations = createFleetOperationRunner({
     member,
     machine,
     client,
@@ -199,18 +199,18 @@
   const rollout = createWeightsRollout({
     member,
     machine,
-    orders: options.orders,
+    engineClient: options.engineClient,
     instance,
     timers,
     logger,
     orderLeaseMs: options.orderLeaseMs,
     sumLoads: () => feed.sumLoads(),
-    findSilenceMs: operator.findSilenceMs,
+    findHeartbeatAgeMs: operations.findHeartbeatAgeMs,
   })
-  const watch = createServerMonitor({
+  const monitor = createServerMonitor({
     machine,
     timers,
-    findSilenceMs: operator.findSilenceMs,
+    findHeartbeatAgeMs: operations.findHeartbeatAgeMs,
     silentAfterMs: options.silentAfterMs,
     weightsExpireMs: options.weightsExpireMs,
   })
@@ -254,11 +254,11 @@
     blame,
     findConditions: () => ({
       loading: rollout.listLoading(),
-      expired: watch.listExpired(),
-      silent: watch.listSilent(),
+      expired: monitor.listExpired(),
+      silent: monitor.listSilent(),
       stores: caches.listLives(),
     }),
-    conditionChanges: merge(rollout.loadingChanges, watch.changes, caches.changes),
+    conditionChanges: merge(rollout.loadingChanges, monitor.changes, caches.changes),
     kept: caches.kept,
     waitForKept: caches.waitForFirstAnswers,
     stopping,
@@ -272,7 +272,7 @@
       method: 'POST',
       path: JOIN_PATH,
       handler: async ({ request, response }: HttpExchange) => {
-        keeper.noteJoin((await readJson(request, INTERNAL_BODY_LIMITS)) as Joiner)
+        groupKeeper.noteJoin((await readJson(request, INTERNAL_BODY_LIMITS)) as Joiner)
         sendJson(response, 200, {})
       },
     },
@@ -280,8 +280,8 @@
       method: 'POST',
       path: FEED_PATH,
       handler: async ({ request, response }: HttpExchange) => {
-        const asked = (await readJson(request, INTERNAL_BODY_LIMITS)) as FeedRequest
-        sendJson(response, 200, await feed.answer(asked, response))
+        const feedRequest = (await readJson(request, INTERNAL_BODY_LIMITS)) as FeedRequest
+        sendJson(response, 200, await feed.answer(feedRequest, response))
       },
     },
     {
@@ -301,8 +301,8 @@
       method: 'POST',
       path: TABLE_PATH,
       handler: async ({ request, response }: HttpExchange) => {
-        const asked = (await readJson(request, INTERNAL_BODY_LIMITS)) as TableRequest
-        sendJson(response, 200, await tableSource.answer(asked, response))
+        const tableRequest = (await readJson(request, INTERNAL_BODY_LIMITS)) as TableRequest
+        sendJson(response, 200, await tableSource.answer(tableRequest, response))
       },
     },
     {
@@ -310,7 +310,7 @@
       path: `${OPERATION_PATH}/:name`,
       handler: async ({ request, response, params }: HttpExchange) => {
         const input = await readJson(request, INTERNAL_BODY_LIMITS)
-        sendJson(response, 200, await operator.runHere(params.name, input))
+        sendJson(response, 200, await operations.runLocally(params.name, input))
       },
     },
   ]
@@ -326,14 +326,14 @@
     url,
     member,
     machine,
-    operator,
-    table: createTableAccess({ operator, table: machine.table }),
+    operations,
+    table: createTableAccess({ operator: operations, table: machine.table }),
     renderMetrics: metrics.render,
     close: async (drainMs) => {
       stopping.next()
-      watch.close()
+      monitor.close()
       await caches.close()
-      await keeper.close()
+      await groupKeeper.close()
       await rollout.close()
       const report = await server.close(drainMs)
       await member.close()
--- a/packages/control/src/registry/serverChanges.ts
+++ b/packages/control/src/registry/serverChanges.ts
@@ -26,38 +26,38 @@
  * Servers that left and are remembered: several times those of a large fleet. A router that is further behind
  * receives all.
  */
-const MAX_GONE = 2_000
+const MAX_REMOVED = 2_000
 
 /** Creates a record of the servers as they are now. */
 export function createServerChanges(list: () => readonly RegisteredServer[]): ServerChanges {
-  const seen = new Map<BackendServerId, RegisteredServer>()
+  const known = new Map<BackendServerId, RegisteredServer>()
   const changedAt = new Map<BackendServerId, number>()
   /** Servers that left, in the order of their leaving. */
-  const goneAt = new Map<BackendServerId, number>()
+  const removedAt = new Map<BackendServerId, number>()
   /** Revisions below this one receive all servers. */
-  let knownFrom = 0
+  let oldestRevision = 0
 
   const removeServer = (id: BackendServerId, revision: number) => {
-    seen.delete(id)
+    known.delete(id)
     changedAt.delete(id)
-    goneAt.delete(id)
-    goneAt.set(id, revision)
-    if (goneAt.size <= MAX_GONE) return
-    const [[oldest, leftAt]] = goneAt
-    goneAt.delete(oldest)
-    knownFrom = leftAt
+    removedAt.delete(id)
+    removedAt.set(id, revision)
+    if (removedAt.size <= MAX_REMOVED) return
+    const [[oldest, leftAt]] = removedAt
+    removedAt.delete(oldest)
+    oldestRevision = leftAt
   }
   const record = (revision: number) => {
     const servers = list()
     // A server is replaced whole when anything of it changes, so that the same object is unchanged.
-    const changed = servers.filter((server) => seen.get(server.id) !== server)
+    const changed = servers.filter((server) => known.get(server.id) !== server)
     for (const server of changed) {
-      seen.set(server.id, server)
+      known.set(server.id, server)
       changedAt.set(server.id, revision)
-      goneAt.delete(server.id)
+      removedAt.delete(server.id)
     }
-    const held = new Set(servers.map(({ id }) => id))
-    const gone = [...seen.keys()].filter((id) => !held.has(id))
+    const currentIds = new Set(servers.map(({ id }) => id))
+    const gone = [...known.keys()].filter((id) => !currentIds.has(id))
     for (const id of gone) removeServer(id, revision)
     return changed.length + gone.length > 0
   }
@@ -65,14 +65,14 @@
   return {
     record,
     listSince: (revision) => {
-      if (revision === undefined || revision < knownFrom) {
+      if (revision === undefined || revision < oldestRevision) {
         return { since: null, changed: list(), gone: [] }
       }
       const isAfter = (at: number | undefined) => at !== undefined && at > revision
       return {
         since: revision,
-        changed: [...seen.values()].filter(({ id }) => isAfter(changedAt.get(id))),
-        gone: [...goneAt].filter(([, at]) => isAfter(at)).map(([id]) => id),
+        changed: [...known.values()].filter(({ id }) => isAfter(changedAt.get(id))),
+        gone: [...removedAt].filter(([, at]) => isAfter(at)).map(([id]) => id),
       }
     },
   }
--- a/packages/control/src/registry/serverMonitor.ts
+++ b/packages/control/src/registry/serverMonitor.ts
@@ -12,7 +12,7 @@
   readonly machine: ControlMachine
   readonly timers: TimerService
   /** Ms since the last heartbeat of a server. */
-  readonly findSilenceMs: (id: BackendServerId) => number
+  readonly findHeartbeatAgeMs: (id: BackendServerId) => number
   /** Silence after which a server counts as silent, in ms. */
   readonly silentAfterMs: number
   /** Age of a newer version after which nothing may begin on an older one, in ms. */
@@ -29,62 +29,62 @@
 }
 
 /** Time between two looks, in ms; small against the bounds on silence and on old weights. */
-const LOOK_PERIOD_MS = 100
+const CHECK_PERIOD_MS = 100
 /** Versions of a model whose age is remembered; older ones have expired by then. */
-const MAX_NAMED = 32
+const MAX_TRACKED_VERSIONS = 32
 
-interface NamedVersion {
+interface TrackedVersion {
   readonly version: number
   /** When this instance learned of it, in ms of the monotonic clock. */
-  readonly at: number
+  readonly learnedAt: number
 }
 
 /** Creates the watch and starts to look. */
 export function createServerMonitor(options: ServerMonitorOptions): ServerMonitor {
   const { machine, timers } = options
-  const named = new Map<string, NamedVersion[]>()
+  const versions = new Map<string, TrackedVersion[]>()
   const changes = new Subject<void>()
   /** Both lists as of the last look. */
-  let seen = ' '
+  let lastState = ' '
 
-  const recordNamed = () => {
+  const recordVersions = () => {
     for (const [model, version] of Object.entries(machine.weights.list())) {
-      const known = named.get(model) ?? []
+      const known = versions.get(model) ?? []
       if (known.some((entry) => entry.version === version)) continue
-      named.set(model, [...known, { version, at: timers.now() }].slice(-MAX_NAMED))
+      versions.set(model, [...known, { version, learnedAt: timers.now() }].slice(-MAX_TRACKED_VERSIONS))
     }
   }
   const isExpired = ({ weights }: RegisteredServer) =>
     weights.some(({ model, version }) => {
-      const newer = (named.get(model) ?? []).find((entry) => entry.version > version)
-      return newer !== undefined && timers.now() - newer.at > options.weightsExpireMs
+      const newer = (versions.get(model) ?? []).find((entry) => entry.version > version)
+      return newer !== undefined && timers.now() - newer.learnedAt > options.weightsExpireMs
     })
   const listSilent = () =>
     machine.servers
       .list()
-      .filter(({ id }) => options.findSilenceMs(id) > options.silentAfterMs)
+      .filter(({ id }) => options.findHeartbeatAgeMs(id) > options.silentAfterMs)
       .map(({ id }) => id)
   const listExpired = () =>
     machine.servers
       .list()
       .filter(isExpired)
       .map(({ id }) => id)
-  const look = () => {
-    recordNamed()
-    const found = `${listSilent().join()} ${listExpired().join()}`
-    if (found === seen) return
-    seen = found
+  const checkServers = () => {
+    recordVersions()
+    const state = `${listSilent().join()} ${listExpired().join()}`
+    if (state === lastState) return
+    lastState = state
     changes.next()
   }
-  const naming = machine.fleetChanges.subscribe(recordNamed)
-  const looking = timers.every(LOOK_PERIOD_MS).subscribe(look)
+  const fleetSubscription = machine.fleetChanges.subscribe(recordVersions)
+  const checkSubscription = timers.every(CHECK_PERIOD_MS).subscribe(checkServers)
   return {
     listSilent,
     listExpired,
     changes,
     close: () => {
-      naming.unsubscribe()
-      looking.unsubscribe()
+      fleetSubscription.unsubscribe()
+      checkSubscription.unsubscribe()
     },
   }
 }
--- a/packages/control/src/registry/tableFetch.ts
+++ b/packages/control/src/registry/tableFetch.ts
@@ -51,7 +51,7 @@
   const findBase = () => (isWholeWanted ? NO_TABLE_VERSION : heldVersion())
   const search = createInstanceSearch({
     listInstances: options.listInstances,
-    ask: (url, signal) =>
+    send: (url, signal) =>
       client.sendJson<TableUpdate>({
         method: 'POST',
         url: `${url}${TABLE_PATH}`,
@@ -61,8 +61,8 @@
     timers,
     random: options.random,
     logger,
-    searchEvent: 'table.searching',
-    listState: () => ({ tableVersion: heldVersion(), wantedVersion }),
+    logEvent: 'table.searching',
+    describeState: () => ({ tableVersion: heldVersion(), wantedVersion }),
     stopping,
   })
   const applyUpdate = async (url: string, update: TableUpdate) => {
--- a/packages/control/src/registry/weightsRollout.ts
+++ b/packages/control/src/registry/weightsRollout.ts
@@ -23,7 +23,7 @@
 export interface WeightsRolloutOptions {
   readonly member: RaftMember
   readonly machine: ControlMachine
-  readonly orders: EngineClient
+  readonly engineClient: EngineClient
   readonly instance: string
   readonly timers: TimerService
   readonly logger: Logger
@@ -31,7 +31,7 @@
   readonly orderLeaseMs: number
   readonly sumLoads: () => ServerLoads
   /** Ms since the last heartbeat of a server. */
-  readonly findSilenceMs: (id: BackendServerId) => number
+  readonly findHeartbeatAgeMs: (id: BackendServerId) => number
 }
 
 /** The rollout; see {@link createWeightsRollout}. */
@@ -44,7 +44,7 @@
 }
 
 /** Time between two looks at what is to be loaded, in ms; small against a load of 0.8 s. */
-const LOOK_PERIOD_MS = 50
+const SCHEDULE_PERIOD_MS = 50
 /** Time between announcing a load and ordering it, in ms: routers get the news by a waiting poll. */
 const ANNOUNCE_MS = 120
 /**
@@ -52,91 +52,91 @@
  * weights, in ms: what that one makes from there on is worth less than what the others lose that wait
  * for a place. With waits of 1.5 to 3 s and one request a version took 9 s to reach six engines.
  */
-const IDLE_MS_PER_KEPT_RUN = 100
+const IDLE_MS_PER_RUNNING_REQUEST = 100
 /** Longest wait for requests that the engine has not begun, in ms; the order would refuse them. */
-const LONGEST_IDLE_WAIT_MS = 1_500
+const MAX_IDLE_WAIT_MS = 1_500
 /** Time between two looks at an engine that loads, in ms; each look costs it a request. */
-const REPORT_PERIOD_MS = 80
+const POLL_PERIOD_MS = 80
 /** Longest time for one load with all its tries, in ms; an order may be carried out 12 s late. */
 const LOAD_TIMEOUT_MS = 15_000
 /** Time after which an order without effect is repeated, in ms. */
-const REPEAT_ORDER_MS = 1_000
+const RESEND_ORDER_AFTER_MS = 1_000
 /** Silence after which a server gets no orders, in ms: two heartbeats of 1.2 s. */
 const SILENT_MS = 2_400
 /** Pause before a server whose load failed is tried again, in ms. */
-const FAILED_PAUSE_MS = 1_000
+const FAILURE_BACKOFF_MS = 1_000
 /** Part of the live engines of a group that load at once: more slow each other down, and the others carry the traffic. */
 const LOADING_RATIO = 0.3
 /** Orders that one leadership can number before it reaches the numbers of the next. */
 const ORDERS_PER_TERM = 1_000_000
 
 /** Outcomes after which the same order cannot succeed. */
-const HOPELESS: ReadonlySet<OrderOutcome> = new Set(['otherServer', 'invalid'])
+const PERMANENT_FAILURES: ReadonlySet<OrderOutcome> = new Set(['otherServer', 'invalid'])
 
 interface LoadTask {
   readonly server: RegisteredServer
   readonly model: string
   /** Version that the server held when the task was made. */
-  readonly held: number
+  readonly heldVersion: number
 }
 
 /** Whether an engine may be ordered to load after a wait. */
 function isIdleEnough({ waiting, running }: EngineReport, waitedMs: number): boolean {
-  if (waitedMs > LONGEST_IDLE_WAIT_MS) return true
-  return waiting === 0 && running * IDLE_MS_PER_KEPT_RUN <= waitedMs
+  if (waitedMs > MAX_IDLE_WAIT_MS) return true
+  return waiting === 0 && running * IDLE_MS_PER_RUNNING_REQUEST <= waitedMs
 }
 
 /** Creates the rollout and starts its task. */
 export function createWeightsRollout(options: WeightsRolloutOptions): WeightsRollout {
-  const { member, machine, orders, timers, logger } = options
+  const { member, machine, engineClient, timers, logger } = options
   const stopping = new AbortController()
   const loading = new Set<BackendServerId>()
-  const pausedUntil = new Map<BackendServerId, number>()
+  const backoffUntil = new Map<BackendServerId, number>()
   /** Engines with an order that got no answer, so that it may still be carried out. */
   const unanswered = new Set<BackendServerId>()
   const loadingChanges = new Subject<void>()
-  const turns = createOrderLeases({
+  const leases = createOrderLeases({
     loads: machine.loads,
     timers,
     orderLeaseMs: options.orderLeaseMs,
   })
   let leadingTerm: number | undefined
-  let ordersGiven = 0
+  let orderCount = 0
 
   const isLeading = (term: number) => {
     const status = member.status()
     return status.role === 'leader' && status.term === term && status.hasLease
   }
-  const noteTerm = (term: number) => {
+  const startTerm = (term: number) => {
     if (term === leadingTerm) return
     leadingTerm = term
-    ordersGiven = 0
-    turns.startLeading()
+    orderCount = 0
+    leases.startLeading()
   }
-  const createFencing = (term: number) => {
-    ordersGiven += 1
-    return term * ORDERS_PER_TERM + ordersGiven
+  const createFencingToken = (term: number) => {
+    orderCount += 1
+    return term * ORDERS_PER_TERM + orderCount
   }
-  const countLimit = (group: string) => {
+  const countMaxLoading = (group: string) => {
     const live = machine.servers.list().filter((server) => server.group === group && isLive(server))
     return Math.max(1, Math.round(live.length * LOADING_RATIO))
   }
   const isLive = ({ id, phase }: RegisteredServer) =>
-    phase === 'ready' && options.findSilenceMs(id) < SILENT_MS
-  const isOutdated = (server: RegisteredServer) =>
+    phase === 'ready' && options.findHeartbeatAgeMs(id) < SILENT_MS
+  const findOutdatedWeights = (server: RegisteredServer) =>
     server.weights.find(({ model, version }) => version < (machine.weights.find(model) ?? 0))
   const listTasks = (): LoadTask[] => {
     const loads = options.sumLoads()
     const now = timers.now()
     const tasks = machine.servers.list().flatMap((server) => {
-      const held = isOutdated(server)
-      const isFree = !loading.has(server.id) && (pausedUntil.get(server.id) ?? 0) <= now
-      if (!held || !isFree || !isLive(server) || !turns.isFree(server.name)) return []
-      return [{ server, model: held.model, held: held.version }]
+      const outdated = findOutdatedWeights(server)
+      const isFree = !loading.has(server.id) && (backoffUntil.get(server.id) ?? 0) <= now
+      if (!outdated || !isFree || !isLive(server) || !leases.isAvailable(server.name)) return []
+      return [{ server, model: outdated.model, heldVersion: outdated.version }]
     })
     const findCalls = ({ server }: LoadTask) => loads[server.id]?.calls ?? 0
     // The oldest weights first: versions that follow each other closely would starve the rest.
-    return tasks.sort((a, b) => a.held - b.held || findCalls(a) - findCalls(b))
+    return tasks.sort((a, b) => a.heldVersion - b.heldVersion || findCalls(a) - findCalls(b))
   }
 
   const recordVersion = async ({ server, model }: LoadTask, version: number) => {
@@ -147,12 +147,12 @@
     const order = {
       model: task.model,
       version,
-      holder: options.instance,
-      fencing: createFencing(term),
-      isKeepingRuns: report.running > 0,
+      issuer: options.instance,
+      fencing: createFencingToken(term),
+      keepsRunningRequests: report.running > 0,
       expectedOrders: report.ordersTaken,
     }
-    const outcome = await orders.sendLoad(task.server, order)
+    const outcome = await engineClient.sendLoad(task.server, order)
     if (outcome === 'unknown') unanswered.add(task.server.id)
     const { model, fencing } = order
     const { waiting, running } = report
@@ -161,77 +161,78 @@
     return outcome
   }
   /** Works until the engine holds the wanted version; false when it cannot be brought there. */
-  const bringUp = async (task: LoadTask, term: number): Promise<boolean> => {
+  const loadWantedVersion = async (task: LoadTask, term: number): Promise<boolean> => {
     const deadline = timers.now() + LOAD_TIMEOUT_MS
     let orderedAt = -Infinity
     const startedAt = timers.now()
-    const mayGoOn = () => timers.now() < deadline && isLeading(term) && !stopping.signal.aborted
-    while (mayGoOn()) {
+    const mayContinue = () => timers.now() < deadline && isLeading(term) && !stopping.signal.aborted
+    while (mayContinue()) {
       const wanted = machine.weights.find(task.model) ?? 0
-      const report = await orders.fetchReport(task.server, task.model)
+      const report = await engineClient.fetchReport(task.server, task.model)
       const { version = 0, isBusy } = report
       if (version >= wanted) {
         await recordVersion(task, version)
         return true
       }
       const isIdle = isIdleEnough(report, timers.now() - startedAt)
-      const mayOrder = !isBusy && isIdle && timers.now() - orderedAt > REPEAT_ORDER_MS
-      if (mayOrder && mayGoOn()) {
+      const mayOrder = !isBusy && isIdle && timers.now() - orderedAt > RESEND_ORDER_AFTER_MS
+      if (mayOrder && mayContinue()) {
         orderedAt = timers.now()
         const outcome = await sendLoad(task, wanted, term, report)
-        if (HOPELESS.has(outcome)) return false
+        if (PERMANENT_FAILURES.has(outcome)) return false
         if (outcome === 'conflict') orderedAt = -Infinity
       }
-      await waitFor(timers, REPORT_PERIOD_MS, stopping.signal)
+      await waitFor(timers, POLL_PERIOD_MS, stopping.signal)
     }
     return false
   }
   /** Whoever leads next must know of the orders before the first of them is sent. */
-  const beginLoad = async (server: ServerName) => {
+  const startLoad = async (server: ServerName) => {
     await member.propose({ kind: 'load.begin', server })
-    turns.take(server)
+    leases.acquire(server)
   }
   const runTask = async (task: LoadTask, term: number) => {
     const { id, name } = task.server
     loading.add(id)
     loadingChanges.next()
     try {
-      await Promise.all([waitFor(timers, ANNOUNCE_MS), beginLoad(name)])
-      if (!(await bringUp(task, term))) pausedUntil.set(id, timers.now() + FAILED_PAUSE_MS)
+      await Promise.all([waitFor(timers, ANNOUNCE_MS), startLoad(name)])
+      if (!(await loadWantedVersion(task, term)))
+        backoffUntil.set(id, timers.now() + FAILURE_BACKOFF_MS)
       if (!unanswered.delete(id)) await member.propose({ kind: 'load.end', server: name })
     } catch (cause) {
-      pausedUntil.set(id, timers.now() + FAILED_PAUSE_MS)
+      backoffUntil.set(id, timers.now() + FAILURE_BACKOFF_MS)
       logger.warn('weights.loadFailed', { server: id, reason: toSpoolgateError(cause).message })
     }
     loading.delete(id)
     loadingChanges.next()
   }
-  const look = () => {
+  const startTasks = () => {
     const { role, term, hasLease } = member.status()
     if (role !== 'leader' || !hasLease) return
-    noteTerm(term)
+    startTerm(term)
     for (const task of listTasks()) {
       const { group } = task.server
-      const busy = machine.servers
+      const loadingCount = machine.servers
         .list()
         .filter((server) => server.group === group && loading.has(server.id)).length
-      if (busy < countLimit(group)) void runTask(task, term)
+      if (loadingCount < countMaxLoading(group)) void runTask(task, term)
     }
   }
   const run = async () => {
     while (!stopping.signal.aborted) {
-      look()
-      await waitFor(timers, LOOK_PERIOD_MS, stopping.signal)
+      startTasks()
+      await waitFor(timers, SCHEDULE_PERIOD_MS, stopping.signal)
     }
   }
-  const running = run()
+  const loop = run()
   return {
     listLoading: () => [...loading],
     loadingChanges,
     close: async () => {
       stopping.abort()
-      await running
-      turns.close()
+      await loop
+      leases.close()
     },
   }
 }
--- a/packages/router/src/__tests__/backoffSimulation.ts
+++ b/packages/router/src/__tests__/backoffSimulation.ts
@@ -119,7 +119,7 @@
       router.name,
       addBackoffs(board.listLoads(), backpressure.listBackingOff(timers.now())),
     )
-    router.view = { ...router.view, loads: leader.sumOthers(router.name) }
+    router.view = { ...router.view, loads: leader.sumExcept(router.name) }
     const periodMs = Math.max(POLL_MS, options.routers * POLL_MS_PER_ROUTER)
     timers.after(periodMs * (0.5 + random.next())).subscribe(() => this.poll(router))
   }
--- a/packages/router/src/__tests__/limitSimulation.ts
+++ b/packages/router/src/__tests__/limitSimulation.ts
@@ -181,7 +181,7 @@
       router.limits.applyUpdate(limitParts.buildUpdate(router.name), askedAt, this.timers.now())
     }
     Object.assign(router, { term, limitsSeen: revision })
-    router.view = { ...router.view, loads: this.loads.sumOthers(router.name) }
+    router.view = { ...router.view, loads: this.loads.sumExcept(router.name) }
   }
 
   private send(router: SimulatedRouter): void {
--- a/packages/router/src/__tests__/quotaCredits.spec.ts
+++ b/packages/router/src/__tests__/quotaCredits.spec.ts
@@ -57,11 +57,11 @@
     const report: QuotaReport = credits.buildReport(uses, askedAt)
     if (fate === 'reportLost') return
     if (fate === 'reportLate') {
-      late.push(() => credits.applyGrants(buckets.settle(report), askedAt))
+      late.push(() => credits.applyGrants(buckets.applyReport(report), askedAt))
       return
     }
-    const grants: QuotaGrants = buckets.settle(report)
-    if (fate === 'doubled') buckets.settle(report)
+    const grants: QuotaGrants = buckets.applyReport(report)
+    if (fate === 'doubled') buckets.applyReport(report)
     if (fate === 'grantsLost') return
     if (fate === 'grantsLate') late.push(() => credits.applyGrants(grants, askedAt))
     else credits.applyGrants(grants, askedAt)
--- a/packages/router/src/__tests__/quotaWays.ts
+++ b/packages/router/src/__tests__/quotaWays.ts
@@ -108,7 +108,7 @@
     count(report)
     at(timers.now() + DELAY_MS, () => {
       if (!isReachable(router)) return
-      buckets.settle(report)
+      buckets.applyReport(report)
       at(timers.now() + heldMs, () => {
         const grants = buckets.listGrants(report)
         count(grants)
