--- a/packages/control/src/registry/engineClient.ts
+++ b/packages/control/src/registry/engineClient.ts
@@ -1,17 +1,17 @@
-/** How control talks to model engines; deployments bring their own way of speaking. */
+/** Interface between control and the model engines; each deployment supplies an implementation. */
 import type { RegisteredServer } from '../state/serverState.js'
 
-/** What an engine says of its weights. */
+/** State that an engine reports. */
 export interface EngineReport {
-  /** Version that it holds of the model asked for; undefined when it does not hold the model. */
+  /** Loaded version of the requested model; undefined when the model is not loaded. */
   readonly version: number | undefined
   /** Whether an order is in flight. */
   readonly isBusy: boolean
-  /** Requests that have not begun; an order would refuse them. */
+  /** Queued requests, which a load order would reject. */
   readonly waiting: number
-  /** Requests that are being worked on. */
+  /** Requests being processed. */
   readonly running: number
-  /** Orders that this incarnation has taken; an order can be tied to this number. */
+  /** Number of orders accepted by this incarnation; an order can be made conditional on it. */
   readonly ordersTaken: number
 }
 
@@ -19,40 +19,40 @@
 export interface LoadOrder {
   readonly model: string
   readonly version: number
-  /** Instance that gives the order. */
+  /** Control instance that issues the order. */
   readonly issuer: string
-  /** Rises with each order, over all leaders. */
+  /** Fencing token, which increases with each order across all leaders. */
   readonly fencing: number
-  /** Whether requests that run go on under the new weights; otherwise the load waits for them. */
+  /** Whether running requests continue under the new weights; otherwise the load waits for them to finish. */
   readonly keepsRunningRequests: boolean
-  /** Orders that the engine must have taken before; otherwise it refuses. */
+  /** Required number of orders accepted so far; the engine rejects the order if its own number differs. */
   readonly expectedOrders: number
 }
 
-/** What became of an order. */
+/** Outcome of an order. */
 export type OrderOutcome =
-  /** It is being carried out. */
+  /** Accepted and in progress. */
   | 'taken'
-  /** The engine holds the version already. */
+  /** The engine already has the version. */
   | 'held'
-  /** Another order is in flight, or others were taken since. */
+  /** Another order is in flight, or others were accepted in the meantime. */
   | 'conflict'
-  /** The number is lower than one seen before. */
+  /** The fencing token is lower than one seen before. */
   | 'fenced'
-  /** Another incarnation answers at the address. */
+  /** A different incarnation answered at the address. */
   | 'otherServer'
-  /** The engine refuses it for good. */
+  /** Rejected permanently by the engine. */
   | 'invalid'
-  /** No answer: it may have been taken, or may be taken later. */
+  /** No response: the order may have been accepted, or may still be accepted later. */
   | 'unknown'
 
-/** Speaks to engines. */
+/** Client for the control interface of engines. */
 export interface EngineClient {
   /**
-   * Fetches what an engine holds.
-   * @throws ConnectionError or SpoolgateError when there is no readable answer.
+   * Fetches the state of an engine.
+   * @throws ConnectionError or SpoolgateError when there is no valid response.
    */
   fetchReport(server: RegisteredServer, model: string): Promise<EngineReport>
-  /** Sends an order; never rejects. */
+  /** Sends an order; the promise never rejects. */
   sendLoad(server: RegisteredServer, order: LoadOrder): Promise<OrderOutcome>
 }
--- a/packages/control/src/registry/loadAggregator.ts
+++ b/packages/control/src/registry/loadAggregator.ts
@@ -1,33 +1,33 @@
 /**
- * What routers have in progress, summed up as they report it: an answer to one of 400 routers costs one
- * pass over the servers, and not one over the servers of each router.
+ * Running totals of the load that routers report for each server. The totals are updated on each report, so a reply
+ * to one of 400 routers costs one pass over the servers instead of one pass per router.
  */
 import type { TimerService } from '@spoolgate/core'
 import type { ServerLoad, ServerLoads } from './feed.js'
 
-/** The sum; see {@link createLoadAggregator}. */
+/** See {@link createLoadAggregator}. */
 export interface LoadAggregator {
-  /** Replaces what a router has in progress. */
+  /** Replaces the reported load of a router. */
   record(router: string, loads: ServerLoads): void
-  /** Lists the routers that had work lately, or all of them where none had. */
+  /** Lists the routers with recent work, or all routers if none had any. */
   listBusyRouters(): readonly string[]
-  /** Counts the routers that polled lately. */
+  /** Counts the routers that polled recently. */
   countRouters(): number
-  /** Sums up what all routers but one have in progress; undefined leaves none out. */
+  /** Sums the load of all routers except one; undefined excludes none. */
   sumExcept(router: string | undefined): ServerLoads
 }
 
 /** Options of {@link createLoadAggregator}. */
 export interface LoadAggregatorOptions {
   readonly timers: TimerService
-  /** Time after which a router that does not poll no longer counts, in ms. */
+  /** Time without a poll after which a router no longer counts, in ms. */
   readonly routerLifeMs: number
 }
 
 interface RouterLoads {
   readonly loads: ServerLoads
   readonly polledAt: number
-  /** When it last had work; -Infinity for never. */
+  /** When the router last had work; -Infinity for never. */
   readonly busyAt: number
 }
 
@@ -46,12 +46,12 @@
   return calls === 0 && promptTokens === 0 && backoffs === undefined
 }
 
-/** Creates a sum over no routers. */
+/** Creates an aggregator without routers. */
 export function createLoadAggregator({
   timers,
   routerLifeMs,
 }: LoadAggregatorOptions): LoadAggregator {
-  /** In the order of their last polls. */
+  /** Ordered by time of the last poll, the oldest first. */
   const routers = new Map<string, RouterLoads>()
   const total = new Map<string, ServerLoad>()
 
--- a/packages/control/src/registry/orderLeases.ts
+++ b/packages/control/src/registry/orderLeases.ts
@@ -1,8 +1,8 @@
 /**
- * Which engines this leader may give orders to. Two instances must not give orders to one engine by
- * turns within a lease; so a new leader waits, but only at engines to which the one before it may
- * have given orders, as the replicated marks of loads say. Waiting at all engines kept a rollout
- * still for 3.5 s after each change of leader.
+ * Tracks which engines this leader may send orders to. Two instances must not send orders to the same engine within
+ * one lease, so a new leader waits for the lease of its predecessor to expire. It waits only for engines that the
+ * replicated load marks show as possibly ordered by a previous leader: waiting for all engines stalled a rollout for
+ * 3.5 s after each leader change.
  */
 import type { ServerName, TimerService } from '@spoolgate/core'
 import type { LoadState } from '../state/loadState.js'
@@ -11,28 +11,28 @@
 export interface OrderLeasesOptions {
   readonly loads: LoadState
   readonly timers: TimerService
-  /** Time for which the orders of an earlier leader may still count, in ms. */
+  /** Time for which orders of a previous leader may still take effect, in ms. */
   readonly orderLeaseMs: number
 }
 
-/** The turns; see {@link createOrderLeases}. */
+/** See {@link createOrderLeases}. */
 export interface OrderLeases {
-  /** Notes that this instance leads from now on. */
+  /** Records that this instance has become leader. */
   startLeading(): void
-  /** Notes that the engine gets orders from this leader from now on. */
+  /** Records that this leader now sends orders to the engine. */
   acquire(server: ServerName): void
-  /** Whether the orders of an earlier leader to the engine no longer count. */
+  /** Whether orders of a previous leader to the engine can no longer take effect. */
   isAvailable(server: ServerName): boolean
   close(): void
 }
 
-/** Added to the lease of an earlier leader, for orders that were still on their way, in ms. */
+/** Margin on the lease of a previous leader for orders still in transit, in ms. */
 const LEASE_MARGIN_MS = 500
 
-/** Creates the turns of an instance that does not lead. */
+/** Creates the leases of an instance that is not the leader yet. */
 export function createOrderLeases(options: OrderLeasesOptions): OrderLeases {
   const { loads, timers, orderLeaseMs } = options
-  /** When this instance saw the mark of an engine change. */
+  /** When this instance last saw the load mark of an engine change. */
   const markChangedAt = new Map<ServerName, number>()
   const acquired = new Set<ServerName>()
   let leadingSince = timers.now()
@@ -40,7 +40,7 @@
   const recordChange = (server: ServerName) => void markChangedAt.set(server, timers.now())
   for (const [server] of loads.list()) recordChange(server)
   const subscription = loads.changes.subscribe(recordChange)
-  /** When the last order of an earlier leader may have been sent. */
+  /** Latest time at which a previous leader may have sent an order. */
   const findLastOrderAt = (server: ServerName): number => {
     const mark = loads.find(server)
     if (mark === undefined || acquired.has(server)) return -Infinity
--- a/packages/control/src/registry/placementLog.ts
+++ b/packages/control/src/registry/placementLog.ts
@@ -1,14 +1,14 @@
-/** The last placements of all routers, numbered, for those that have not received them. */
+/** Bounded log of the latest placements of all routers, by sequence number, from which routers fetch new entries. */
 import { MAX_PLACEMENTS_PER_REPLY, type Placement } from './feed.js'
 
-/** The log; see {@link createPlacementLog}. */
+/** See {@link createPlacementLog}. */
 export interface PlacementLog {
   add(router: string, placements: readonly Placement[]): void
-  /** Lists what other routers placed after a number; the newest of too many. */
+  /** Lists placements of other routers after a sequence number; only the newest when they exceed one reply. */
   listSince(router: string, seen: number): Placement[]
-  /** Number of the last placement. */
+  /** Sequence number of the last placement. */
   last(): number
-  /** Forgets everything, as a new leader must: its numbers start anew. */
+  /** Clears the log and restarts numbering, as a new leader must. */
   reset(): void
 }
 
@@ -17,13 +17,13 @@
   readonly placement: Placement
 }
 
-/** Placements that are kept: several replies' worth. */
+/** Maximum number of entries: enough for several replies. */
 const MAX_ENTRIES = 1_000
 
 /** Creates an empty log. */
 export function createPlacementLog(): PlacementLog {
   let entries: Entry[] = []
-  /** Number of the entry before the first that is kept. */
+  /** Number of entries dropped from the front, which is the sequence number before the first one kept. */
   let removedCount = 0
   return {
     add: (router, placements) => {
--- a/packages/control/src/registry/rateLimitAllocator.ts
+++ b/packages/control/src/registry/rateLimitAllocator.ts
@@ -1,6 +1,7 @@
 /**
- * Divides the rate limits that servers name among routers. Few routers use a limited server, so that each has a rate
- * that it can use, and bursts do not add up; rendezvous hashing keeps most of them when routers join or leave.
+ * Allocates the rate limits that servers announce to routers. Only a few routers use a limited server, so that each
+ * share is a usable rate and bursts do not add up. Rendezvous hashing keeps most assignments when routers join or
+ * leave.
  */
 import type { TimerService } from '@spoolgate/core'
 import { hashText } from '@spoolgate/routing'
@@ -9,43 +10,43 @@
 /** Options of {@link createRateLimitAllocator}. */
 export interface RateLimitAllocatorOptions {
   readonly timers: TimerService
-  /** Lists the routers that have work, or all of them where none has. */
+  /** Lists the routers with work, or all routers if none has any. */
   readonly listRouters: () => readonly string[]
   readonly isRegistered: (server: string) => boolean
 }
 
 /** See {@link createRateLimitAllocator}. */
 export interface RateLimitAllocator {
-  /** Forgets all limits: routers report them to each new leader. */
+  /** Clears all limits; routers report them again to each new leader. */
   reset(): void
-  /** Records what a router observed. */
+  /** Records the limits observed by a router. */
   record(reports: readonly LimitReport[]): void
-  /** Rises with each change of a limit or of a router's part. */
+  /** Revision number, which increases with each change of a limit or of a router's share. */
   revision(): number
-  /** Builds what a router should know. */
+  /** Builds the limits update for a router. */
   buildUpdate(router: string): LimitsUpdate
 }
 
-/** Least rate of one router's part, in requests a second. */
+/** Minimum rate of one router's share, in requests per second. */
 const MIN_SHARE_RATE = 0.75
-/** Time after which a new leader assigns parts, in ms: routers have polled it and keep their former parts until then. */
+/** Delay before a new leader assigns shares, in ms: all routers poll it within that time, and keep their previous shares. */
 const FIRST_ASSIGNMENT_DELAY_MS = 1_500
-/** Time between two looks at the routers, in ms. */
+/** Minimum interval between refreshes of the router list, in ms. */
 const REFRESH_PERIOD_MS = 250
-/** Time without an observation after which other routers get the rate of a server, in ms. */
+/** Time without an observation after which a server's rate is assigned to other routers, in ms. */
 const REASSIGN_UNUSED_AFTER_MS = 6_000
-/** Time for which the end of a limit is remembered, in ms. */
+/** Time for which a withdrawn limit is remembered, in ms. */
 const WITHDRAWN_TTL_MS = 60_000
-/** Servers whose limits are kept: several times those of a large fleet. */
+/** Maximum number of servers with limits: several times the size of a large deployment. */
 const MAX_LIMITS = 5_000
 
 interface LimitEntry {
   perSecond: number | null
-  /** When it was last observed. */
+  /** When the limit was last observed. */
   at: number
-  /** When its routers were chosen last. */
+  /** When its routers were last chosen. */
   assignedAt: number
-  /** Counts how often other routers were chosen. */
+  /** Number of reassignments to other routers because the rate was unused. */
   round: number
   routers: ReadonlySet<string>
 }
@@ -63,7 +64,7 @@
   return new Set(scored.slice(0, count).map(({ router }) => router))
 }
 
-/** Creates a division of no limits. */
+/** Creates an allocator without limits. */
 export function createRateLimitAllocator(options: RateLimitAllocatorOptions): RateLimitAllocator {
   const { timers, listRouters, isRegistered } = options
   const entries = new Map<string, LimitEntry>()
--- a/packages/control/src/registry/registryControl.ts
+++ b/packages/control/src/registry/registryControl.ts
@@ -1,6 +1,6 @@
 /**
- * A control instance of deployments where backend servers register themselves: the replicated log
- * with routing table, weights and servers, the feed to routers, and the rollout of weights.
+ * Control instance for deployments in which backend servers register themselves. It runs the replicated log that
+ * holds the routing table, weights and servers, serves the feed to routers, and rolls out weights.
  */
 import {
   createDaemonRoutes,
@@ -54,65 +54,70 @@
 export interface RegistryControlOptions {
   readonly instance: string
   readonly host: string
-  /** Port for the fleet's own processes; 0 lets the machine choose. */
+  /** Port for internal traffic; 0 picks a free port. */
   readonly port: number
-  /** Folder on the disk, or a folder that a test made. */
+  /** Path of the data folder, or a folder implementation supplied by a test. */
   readonly dataFolder: string | DataFolder
-  /** URLs of the control instances to start from; read again whenever they are needed. */
+  /** URLs of the initial control instances; called again on each use. */
   readonly seeds: () => readonly string[]
-  /** Whether the whole fleet starts for the first time, so that the seeds found the group. */
+  /** Whether this is the first start of the deployment, in which the seeds form the initial group. */
   readonly isFirstStart: boolean
-  /** Voters that the group should have. */
+  /** Target number of voters in the group. */
   readonly wantedVoters: number
   readonly engineClient: EngineClient
   readonly cacheCalls: CacheCalls
-  /** Decodes the operators' document. */
+  /** Decodes the routing table document submitted by operators. */
   readonly decodeTable: (document: string) => RoutingTable
-  /** Time for which orders of an earlier leader may still count, in ms. */
+  /** Time for which orders of a previous leader may still take effect, in ms. */
   readonly orderLeaseMs: number
-  /** Silence after which a backend server counts as silent, in ms. */
+  /** Time without a heartbeat after which a backend server counts as silent, in ms. */
   readonly silentAfterMs: number
-  /** Age of a newer version after which nothing may begin on older weights, in ms. */
+  /** Age of a newer weights version after which no request may start on an older one, in ms. */
   readonly weightsExpireMs: number
-  /** Tolerance on what teams with limits have run. */
+  /** Permitted overrun of team limits. */
   readonly quotaTolerance: QuotaTolerance
-  /** Notes what comes from outside and cannot be used. */
+  /** Records external input that was rejected. */
   readonly rejectedInputs: RejectedInputs
   readonly logger: Logger
   readonly timers: TimerService
-  /** @default 800, well above a pause of the processor and below the bound on changes */
+  /**
+   * Election timeout, in ms: well above a scheduling pause and below the bound on configuration changes.
+   * @default 500
+   */
   readonly electionMs?: number
-  /** @default 100 */
+  /**
+   * Interval of the leader's heartbeats to the group, in ms.
+   * @default 100
+   */
   readonly heartbeatMs?: number
   /**
-   * When this process began, in ms of the monotonic clock of `timers`.
+   * Start time of this process on the monotonic clock of `timers`, in ms.
    * @default now
    */
   readonly startedAt?: number
-  /** Called when the disk failed; the daemon must then end. */
+  /** Called after a disk failure; the daemon must then exit. */
   readonly onFailure?: (cause: unknown) => void
 }
 
-/** A running control instance. */
+/** A running control instance; see {@link createRegistryControl}. */
 export interface RegistryControl {
   readonly url: string
   readonly member: RaftMember
   readonly machine: ControlMachine
-  /** Runs what operators and backend servers ask for. */
+  /** Runs the operations requested by operators and backend servers. */
   readonly operations: FleetOperationRunner
-  /** The routing table for operators. */
+  /** Operators' access to the routing table. */
   readonly table: TableAccess
-  /** Renders the metrics. */
   renderMetrics(): Promise<string>
   close(drainMs: number): Promise<CloseReport>
 }
 
 const DEFAULT_ELECTION_MS = 500
 const DEFAULT_HEARTBEAT_MS = 100
-/** Entries between snapshots: tables of 100 KB then stay under 7 MB on a disk of 64 MB. */
+/** Log entries between snapshots: with tables of 100 KB, the log stays under 7 MB on a 64 MB disk. */
 const SNAPSHOT_EVERY = 64
 
-/** Creates a control instance and waits until it listens. */
+/** Creates a control instance; resolves once it is listening. */
 export async function createRegistryControl(
   options: RegistryControlOptions,
 ): Promise<RegistryControl> {
--- a/packages/control/src/registry/serverChanges.ts
+++ b/packages/control/src/registry/serverChanges.ts
@@ -1,40 +1,41 @@
 /**
- * Which backend servers changed since a router last polled, so that it receives these and not all.
+ * Tracks changes of backend servers by revision, so that a polling router receives only what changed since its last
+ * poll.
  */
 import type { BackendServerId } from '@spoolgate/core'
 import type { RegisteredServer } from '../state/serverState.js'
 
-/** What a router receives of servers. */
+/** Update of the server list sent to a router. */
 export interface ServersUpdate {
-  /** Revision that it is applied to; null where all servers are sent. */
+  /** Revision that the update applies to; null when it contains all servers. */
   readonly since: number | null
-  /** Servers that are new or changed. */
+  /** New and changed servers. */
   readonly changed: readonly RegisteredServer[]
-  /** Servers that have left. */
+  /** Removed servers. */
   readonly gone: readonly BackendServerId[]
 }
 
 /** See {@link createServerChanges}. */
 export interface ServerChanges {
-  /** Compares the servers with what was seen last, as a revision; true when any changed. */
+  /** Records the changes since the last call under a revision; true when there are any. */
   record(revision: number): boolean
-  /** Lists what changed after a revision; all servers where that is not known, or undefined. */
+  /** Lists the changes after a revision; all servers when the revision is undefined or too old. */
   listSince(revision: number | undefined): ServersUpdate
 }
 
 /**
- * Servers that left and are remembered: several times those of a large fleet. A router that is further behind
- * receives all.
+ * Maximum number of removed servers to remember: several times the size of a large deployment. A router that is
+ * further behind receives all servers.
  */
 const MAX_REMOVED = 2_000
 
-/** Creates a record of the servers as they are now. */
+/** Creates a change record that starts from the current servers. */
 export function createServerChanges(list: () => readonly RegisteredServer[]): ServerChanges {
   const known = new Map<BackendServerId, RegisteredServer>()
   const changedAt = new Map<BackendServerId, number>()
-  /** Servers that left, in the order of their leaving. */
+  /** Removed servers, in the order of removal. */
   const removedAt = new Map<BackendServerId, number>()
-  /** Revisions below this one receive all servers. */
+  /** Oldest revision from which a partial update can be built. */
   let oldestRevision = 0
 
   const removeServer = (id: BackendServerId, revision: number) => {
@@ -49,7 +50,7 @@
   }
   const record = (revision: number) => {
     const servers = list()
-    // A server is replaced whole when anything of it changes, so that the same object is unchanged.
+    // Server objects are immutable: a change replaces the object, so identity comparison detects it.
     const changed = servers.filter((server) => known.get(server.id) !== server)
     for (const server of changed) {
       known.set(server.id, server)
--- a/packages/control/src/registry/serverMonitor.ts
+++ b/packages/control/src/registry/serverMonitor.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader alone knows of servers: which are silent, and which hold weights so old that
- * nothing may begin on them. Looks at regular times and says when something changed.
+ * Monitors, at the leader, which servers are silent and which hold expired weights, on which no request may start.
+ * Checks periodically and emits when either set changes.
  */
 import type { BackendServerId, TimerService } from '@spoolgate/core'
 import { Subject, type Observable } from 'rxjs'
@@ -11,40 +11,40 @@
 export interface ServerMonitorOptions {
   readonly machine: ControlMachine
   readonly timers: TimerService
-  /** Ms since the last heartbeat of a server. */
+  /** Returns the time since the last heartbeat of a server, in ms. */
   readonly findHeartbeatAgeMs: (id: BackendServerId) => number
-  /** Silence after which a server counts as silent, in ms. */
+  /** Time without a heartbeat after which a server counts as silent, in ms. */
   readonly silentAfterMs: number
-  /** Age of a newer version after which nothing may begin on an older one, in ms. */
+  /** Age of a newer weights version after which no request may start on an older one, in ms. */
   readonly weightsExpireMs: number
 }
 
-/** The watch; see {@link createServerMonitor}. */
+/** See {@link createServerMonitor}. */
 export interface ServerMonitor {
   listSilent(): readonly BackendServerId[]
   listExpired(): readonly BackendServerId[]
-  /** Emits when either list changed. */
+  /** Emits when either list changes. */
   readonly changes: Observable<void>
   close(): void
 }
 
-/** Time between two looks, in ms; small against the bounds on silence and on old weights. */
+/** Interval between checks, in ms: small compared with the limits on silence and on the age of weights. */
 const CHECK_PERIOD_MS = 100
-/** Versions of a model whose age is remembered; older ones have expired by then. */
+/** Maximum number of versions tracked per model; older ones have expired by then. */
 const MAX_TRACKED_VERSIONS = 32
 
 interface TrackedVersion {
   readonly version: number
-  /** When this instance learned of it, in ms of the monotonic clock. */
+  /** When this instance learned of the version, in ms of the monotonic clock. */
   readonly learnedAt: number
 }
 
-/** Creates the watch and starts to look. */
+/** Creates the monitor and starts its periodic check. */
 export function createServerMonitor(options: ServerMonitorOptions): ServerMonitor {
   const { machine, timers } = options
   const versions = new Map<string, TrackedVersion[]>()
   const changes = new Subject<void>()
-  /** Both lists as of the last look. */
+  /** Both lists as of the last check, joined for comparison. */
   let lastState = ' '
 
   const recordVersions = () => {
--- a/packages/control/src/registry/serverSignals.ts
+++ b/packages/control/src/registry/serverSignals.ts
@@ -1,7 +1,7 @@
 /**
- * Which signals of a backend server count at the leader: those of its last start, in the order of their
- * numbers, and no late one of an earlier incarnation. Soft state; after a change of the leader late signals are
- * known by their start alone, and change nothing back (mergeServer).
+ * Filters the heartbeats and leave messages of backend servers at the leader. It accepts those of a server's latest
+ * start in sequence order, and drops delayed ones of earlier incarnations. This state is not replicated: after a
+ * leader change, delayed messages are recognised by their start time alone, and mergeServer reverts nothing for them.
  */
 import type { BackendServerId, Logger, ServerName, TimerService } from '@spoolgate/core'
 import { LRUCache } from 'lru-cache'
@@ -18,35 +18,35 @@
   readonly servers: Pick<ServerState, 'find' | 'findByName' | 'list' | 'isOver'>
   readonly timers: TimerService
   readonly logger: Logger
-  /** Silence after which a backend server counts as silent, in ms. */
+  /** Time without a heartbeat after which a backend server counts as silent, in ms. */
   readonly silentAfterMs: number
-  /** Ms since this leader last received a heartbeat of a server, or since it leads. */
+  /** Returns the time since this leader received a server's last heartbeat, or since it became leader, in ms. */
   readonly findHeartbeatAgeMs: (id: BackendServerId) => number
 }
 
 /** See {@link createServerSignals}. */
 export interface ServerSignals {
   /**
-   * Judges a heartbeat, and takes note of it where it counts. False for a late one, which changes nothing.
-   * @param count number of the heartbeat, which rises with each; undefined where there is none
+   * Checks whether a heartbeat is current, and records it if so. Returns false for a delayed one, which must be ignored.
+   * @param count sequence number of the heartbeat; undefined when the server sends none
    */
   admitHeartbeat(server: RegisteredServer, count: number | undefined): boolean
-  /** Finds whom a leave concerns; undefined where it must change nothing. */
+  /** Returns the incarnation that a leave message refers to; undefined when the message must be ignored. */
   resolveLeave(name: ServerName, startedAt: number | undefined): ServerIdentity | undefined
 }
 
-/** Incarnations that are remembered: those of minutes in a large fleet. */
+/** Maximum number of incarnations to remember: several minutes' worth in a large deployment. */
 const MAX_INCARNATIONS = 5_000
 /**
- * Time after the first signal of a start within which a leave that names no start is taken for a late signal of
- * the start before, in ms: what is sent on the way of a cut comes seconds late.
+ * Time after the first heartbeat of a start within which a leave message without a start time is attributed to the
+ * previous start, in ms: messages in transit during a network cut arrive seconds late.
  */
 const LATE_LEAVE_WINDOW_MS = 5_000
 
-/** Creates a judge without signals. */
+/** Creates a filter that has received nothing yet. */
 export function createServerSignals(options: ServerSignalsOptions): ServerSignals {
   const { servers, timers, logger, findHeartbeatAgeMs } = options
-  /** Incarnations whose address another one took over while this instance led. */
+  /** Incarnations whose address was taken over by another one while this instance was leader. */
   const displaced = new LRUCache<BackendServerId, true>({ max: MAX_INCARNATIONS })
   const counts = new LRUCache<BackendServerId, number>({ max: MAX_INCARNATIONS })
   const firstReceivedAt = new LRUCache<BackendServerId, number>({ max: MAX_INCARNATIONS })
@@ -54,8 +54,8 @@
   const findAddressHolder = ({ name, address }: RegisteredServer) =>
     servers.list().find((other) => other.address === address && other.name !== name)
   /**
-   * A heartbeat may be held up by a cut, and arrive when its sender has crashed and another
-   * incarnation has the address. It would take a good server out until that one's next heartbeat.
+   * A heartbeat delayed by a network cut may arrive after its sender crashed and another incarnation took over the
+   * address. Accepting it would remove the healthy server until that server's next heartbeat.
    */
   const isDisplaced = ({ id }: RegisteredServer, holder: RegisteredServer | undefined) =>
     holder !== undefined &&
@@ -63,7 +63,7 @@
     findHeartbeatAgeMs(holder.id) < options.silentAfterMs
   const findLateReason = (server: RegisteredServer, count: number | undefined) => {
     if (servers.isOver(server)) return 'over'
-    // Where no start is named, a lower number may be that of another one.
+    // Without a start time, a lower sequence number may belong to a different start.
     const isLower = count !== undefined && count < (counts.get(server.id) ?? count)
     if (isLower && isStartKnown(server)) return 'count'
     return isDisplaced(server, findAddressHolder(server)) ? 'displaced' : undefined
@@ -106,7 +106,7 @@
     },
     resolveLeave: (name, startedAt) => {
       const known = servers.findByName(name)
-      // A server that names no start in its heartbeats is the one that is known, whatever its leave names.
+      // A server whose heartbeats have no start time is the registered one, whatever start its leave message names.
       if (known && !isStartKnown(known)) return known
       if (startedAt !== undefined || !known) return buildServerIdentity(name, startedAt)
       const isRecentStart =
