--- a/packages/control/src/__tests__/feedSimulation.ts
+++ b/packages/control/src/__tests__/feedSimulation.ts
@@ -28,7 +28,7 @@
 import type { RaftMember } from '../raft/types.js'
 import { createControlMachine } from '../state/controlMachine.js'
 import { buildServerIdentity } from '../state/serverState.js'
-import { createNoQuotas, NO_LIMITS, NO_QUOTAS } from './idleRecords.js'
+import { createUnlimitedQuotaBuckets, NO_LIMITS, NO_QUOTAS } from './routerRecordStubs.js'
 
 /** Size of the simulated fleet and its resources. */
 export interface FeedSimulationOptions {
@@ -233,7 +233,7 @@
       }),
       machine,
       timers,
-      quotas: createNoQuotas(timers),
+      quotas: createUnlimitedQuotaBuckets(timers),
       tables,
       findConditions: () => ({ loading: [], expired: [], silent: [], stores: [] }),
       conditionChanges: NEVER,
@@ -252,7 +252,7 @@
   const instances = new Map(
     urls.map((url) => {
       const host = createHost(options.controlCores, options.controlMbps)
-      return [url, { source: createSource(url, host), host: host }]
+      return [url, { source: createSource(url, host), host }]
     }),
   )
   const runTask = (host: Host, ms: number) => {
@@ -278,7 +278,7 @@
     json: unknown,
     response: ServerResponse,
   ) => {
-    const { source, host: host } = instances.get(url) as { source: FeedSource; host: Host }
+    const { source, host } = instances.get(url) as { source: FeedSource; host: Host }
     const requestText = JSON.stringify(json)
     await transfer(router, requestText.length)
     await new Promise<void>((resolve) => timers.after(NETWORK_DELAY_MS).subscribe(() => resolve()))
@@ -346,7 +346,7 @@
     })
     follower.changes.subscribe(({ index: { table } }) => {
       tableMs[index] ??= timers.now() - options.electedAt
-      for (const [version, { acceptedAt, propagationMs: propagationMs }] of accepted) {
+      for (const [version, { acceptedAt, propagationMs }] of accepted) {
         if (table.version >= version) propagationMs[index] ??= timers.now() - acceptedAt
       }
     })
@@ -373,7 +373,7 @@
     countLeaderRequests: () => leaderRequests,
     putTable: (version, routes) => {
       const propagationMs = followers.map(() => undefined)
-      accepted.set(version, { acceptedAt: timers.now(), propagationMs: propagationMs })
+      accepted.set(version, { acceptedAt: timers.now(), propagationMs })
       machine.apply(
         { kind: 'table.put', version, document: buildDocument(version, routes) },
         version,
--- a/packages/control/src/__tests__/tableFetcher.spec.ts
+++ b/packages/control/src/__tests__/tableFetcher.spec.ts
@@ -51,7 +51,7 @@
     }
   }
   return {
-    fetcher: fetcher,
+    fetcher,
     run,
     asked,
     lines,
--- a/packages/control/src/__tests__/weightsRollout.spec.ts
+++ b/packages/control/src/__tests__/weightsRollout.spec.ts
@@ -7,8 +7,8 @@
   type ManualTimerService,
 } from '@spoolgate/core'
 import { expect } from 'chai'
-import type { EngineReport, LoadOrder } from '../registry/engineOrders.js'
-import { createServerWatch } from '../registry/serverWatch.js'
+import type { EngineReport, LoadOrder } from '../registry/engineClient.js'
+import { createServerMonitor } from '../registry/serverMonitor.js'
 import { createWeightsRollout, type WeightsRollout } from '../registry/weightsRollout.js'
 import type { RaftMember, RaftStatus } from '../raft/types.js'
 import type { LoadMark } from '../state/loadState.js'
@@ -45,7 +45,7 @@
     this.rollout = createWeightsRollout({
       member,
       machine: this.machine,
-      orders: {
+      engineClient: {
         fetchReport: async ({ id }) => ({ ...(this.engines.get(id) as TestEngine) }),
         sendLoad: async ({ id, name }, order) => {
           const mark = this.machine.loads.find(name)
@@ -59,7 +59,7 @@
       logger: createQuietLogger(),
       orderLeaseMs: ORDER_LEASE_MS,
       sumLoads: () => ({}),
-      findSilenceMs: () => 0,
+      findHeartbeatAgeMs: () => 0,
     })
   }
 
@@ -205,10 +205,10 @@
   it('names servers whose weights are too old, one that comes late included', () => {
     const timers = createManualTimerService()
     const machine = createControlMachine()
-    const watch = createServerWatch({
+    const watch = createServerMonitor({
       machine,
       timers,
-      findSilenceMs: () => 0,
+      findHeartbeatAgeMs: () => 0,
       silentAfterMs: 1_000,
       weightsExpireMs: 7_000,
     })
--- a/packages/control/src/registry/feedClient.ts
+++ b/packages/control/src/registry/feedClient.ts
@@ -26,7 +26,7 @@
 } from './feed.js'
 import { createFleetReplica, type FleetView } from './fleetReplica.js'
 import { createInstanceSearch } from './instanceSearch.js'
-import type { QuotaGrants, QuotaReport } from './quotaCredits.js'
+import type { QuotaGrants, QuotaReport } from './quotaProtocol.js'
 import { createTableFetcher } from './tableFetcher.js'
 
 /** Options of {@link createFeedClient}. */
@@ -217,12 +217,12 @@
   }
   const search = createInstanceSearch({
     listInstances,
-    ask: pollInstance,
+    send: pollInstance,
     timers,
     random: options.random,
     logger,
-    searchEvent: 'control.searching',
-    listState: () => ({
+    logEvent: 'control.searching',
+    describeState: () => ({
       tableVersion: replica.view()?.index.table.version,
       proofAgeMs: Math.round(timers.promiseNow() - confirmedAt),
       term: replica.position().term,
@@ -230,7 +230,7 @@
     stopping: stopping.signal,
   })
   const pollLeader = async (url: string) => {
-    const answered = await search.askFirst(url, findWaitMs(url) + ANSWER_TIMEOUT_MS)
+    const answered = await search.requestFrom(url, findWaitMs(url) + ANSWER_TIMEOUT_MS)
     if (answered || stopping.signal.aborted) return answered
     const proofAgeMs = Math.round(timers.promiseNow() - confirmedAt)
     logger.warn('control.lost', { url, term: replica.position().term, proofAgeMs })
--- a/packages/control/src/registry/feedSource.ts
+++ b/packages/control/src/registry/feedSource.ts
@@ -21,11 +21,11 @@
   type ServerLoads,
 } from './feed.js'
 import type { CacheDirectory } from './cacheDirectory.js'
-import { createLimitParts } from './limitParts.js'
-import { createLoadSum } from './loadSum.js'
+import { createRateLimitAllocator } from './rateLimitAllocator.js'
+import { createLoadAggregator } from './loadAggregator.js'
 import { createPlacementLog } from './placementLog.js'
 import type { QuotaBuckets } from './quotaBuckets.js'
-import type { QuotaGrants, QuotaReport, QuotaStatus } from './quotaCredits.js'
+import type { QuotaGrants, QuotaReport, QuotaStatus } from './quotaProtocol.js'
 import { createServerChanges } from './serverChanges.js'
 import type { TableHistory } from '../table/tableHistory.js'
 import { measureUpdate, NO_TABLE_VERSION } from '../table/tableUpdate.js'
@@ -112,9 +112,9 @@
 
 /** Creates the leader's side of the feed. */
 export function createFeedSource(options: FeedSourceOptions): FeedSource {
-  const { member, machine, timers, quarantine: quarantine } = options
-  const loads = createLoadSum({ timers, routerLifeMs: ROUTER_EXPIRY_MS })
-  const limits = createLimitParts({
+  const { member, machine, timers, quarantine } = options
+  const loads = createLoadAggregator({ timers, routerLifeMs: ROUTER_EXPIRY_MS })
+  const limits = createRateLimitAllocator({
     timers,
     listRouters: loads.listBusyRouters,
     isRegistered: (server) => machine.servers.find(server as BackendServerId) !== undefined,
@@ -194,7 +194,7 @@
     placements.add(request.router, request.placements)
     loads.record(request.router, request.loads)
     limits.record(request.limits ?? [])
-    if (request.quotas) options.quotas.settle(request.quotas)
+    if (request.quotas) options.quotas.applyReport(request.quotas)
     return request.blame && quarantine.record(request.blame)
   }
   const findTableVersion = () => machine.table.current()?.version ?? NO_TABLE_VERSION
@@ -232,7 +232,7 @@
       tableVersion: findTableVersion(),
       tableUpdate: findTableUpdate(request),
       routers: loads.countRouters(),
-      loads: loads.sumOthers(request.router),
+      loads: loads.sumExcept(request.router),
       placements: placements.listSince(
         request.router,
         isCurrentTerm(request) ? request.placementsSeen : 0,
@@ -272,13 +272,13 @@
     grantQuotas: (report) => {
       checkLeading()
       startTerm()
-      return options.quotas.settle(report)
+      return options.quotas.applyReport(report)
     },
     listQuotas: () => {
       checkLeading()
       return options.quotas.list()
     },
     addCacheChanges: (placed) => cacheChanges.add(NO_ROUTER, placed),
-    sumLoads: () => loads.sumOthers(undefined),
+    sumLoads: () => loads.sumExcept(undefined),
   }
 }
--- a/packages/control/src/registry/fleetReplica.ts
+++ b/packages/control/src/registry/fleetReplica.ts
@@ -12,7 +12,7 @@
   type TableUpdate,
 } from '../table/tableUpdate.js'
 import type { RegisteredServer } from '../state/serverState.js'
-import type { ServerNews } from './serverChanges.js'
+import type { ServersUpdate } from './serverChanges.js'
 import type {
   FeedReply,
   FeedRequest,
@@ -150,7 +150,7 @@
     return true
   }
   /** Returns false if the changes are based on another revision; all servers are then requested. */
-  const applyServers = ({ since, changed, gone }: ServerNews) => {
+  const applyServers = ({ since, changed, gone }: ServersUpdate) => {
     if (since !== null && since !== position.revision) return false
     const next = new Map(since === null ? [] : servers)
     for (const id of gone) next.delete(id)
