--- a/packages/router/src/__tests__/answerRelay.spec.ts
+++ b/packages/router/src/__tests__/answerRelay.spec.ts
@@ -2,7 +2,7 @@
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net'
 import { createKeepAliveAgent } from '@spoolgate/core'
 import { expect } from 'chai'
-import { readAnswerBody } from '../direct/answerRelay.js'
+import { readResponseBody } from '../direct/answerRelay.js'
 
 type Script = (socket: Socket, turn: number) => void
 
@@ -40,7 +40,7 @@
     server = await startScripted((socket) => {
       socket.end('HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it')
     })
-    const body = await readAnswerBody(await ask(server, agent))
+    const body = await readResponseBody(await ask(server, agent))
     expect(body?.toString()).to.equal('all of it')
   })
 
@@ -52,7 +52,7 @@
     })
     const message = await ask(server, agent)
     message.once('data', () => setImmediate(reset))
-    expect(await readAnswerBody(message)).to.equal(undefined)
+    expect(await readResponseBody(message)).to.equal(undefined)
   })
 
   it('takes it as broken also when the reset comes together with the last bytes', async () => {
@@ -61,14 +61,14 @@
         setImmediate(() => socket.resetAndDestroy()),
       )
     })
-    expect(await readAnswerBody(await ask(server, agent))).to.equal(undefined)
+    expect(await readResponseBody(await ask(server, agent))).to.equal(undefined)
   })
 
   it('takes an answer as broken when bytes are missing', async () => {
     server = await startScripted((socket) => {
       socket.end('HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf')
     })
-    expect(await readAnswerBody(await ask(server, agent))).to.equal(undefined)
+    expect(await readResponseBody(await ask(server, agent))).to.equal(undefined)
   })
 
   it('does not take a surplus answer for the answer to the next request', async () => {
@@ -79,11 +79,11 @@
       first.closed ??= new Promise((resolve) => socket.once('close', resolve))
       socket.write(format('right'))
     })
-    await readAnswerBody(await ask(server, agent))
+    await readResponseBody(await ask(server, agent))
     await new Promise((resolve) => setImmediate(resolve))
     first.socket?.write(format('wrong'))
     await first.closed
-    const body = await readAnswerBody(await ask(server, agent))
+    const body = await readResponseBody(await ask(server, agent))
     expect(body?.toString()).to.equal('right')
   })
 })
--- a/packages/router/src/__tests__/directParts.spec.ts
+++ b/packages/router/src/__tests__/directParts.spec.ts
@@ -2,7 +2,7 @@
 import { hashPart } from '@spoolgate/routing'
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { createEventCutter } from '../direct/eventCutter.js'
+import { createSseEventBuffer } from '../direct/eventCutter.js'
 import { buildPlacement, createPartMemory } from '../direct/partMemory.js'
 import { createRetryShare } from '../direct/retryShare.js'
 import { createLiveness } from '../direct/liveness.js'
@@ -23,7 +23,7 @@
     fc.assert(
       fc.property(fc.array(event), fc.array(fc.nat({ max: 30 })), (events, sizes) => {
         const text = events.join('')
-        const cutter = createEventCutter()
+        const cutter = createSseEventBuffer()
         let passed = ''
         let at = 0
         for (const size of [...sizes, text.length]) {
@@ -39,7 +39,7 @@
   })
 
   it('keeps back a part of an event and knows the last whole one', () => {
-    const cutter = createEventCutter()
+    const cutter = createSseEventBuffer()
     const whole = cutter.add(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: b'))
     expect(whole.toString()).to.equal('id: 1\ndata: a\n\n')
     expect(cutter.lastId()).to.equal('1')
--- a/packages/router/src/direct/answerHead.ts
+++ b/packages/router/src/direct/answerHead.ts
@@ -4,21 +4,21 @@
 import type { CallPlan } from './callPlan.js'
 import type { Candidate } from './choice.js'
 import type { DirectParts } from './directParts.js'
-import type { SendEnd } from './sendEnd.js'
+import type { AttemptOutcome } from './sendEnd.js'
 
 /** A head with the instant at which its request was sent, in ms of the monotonic clock. */
-export interface ReceivedHead {
+export interface ReceivedResponse {
   readonly message: IncomingMessage
   readonly sentAt: number
 }
 
 /** Judges a head; undefined where the answer is the server's own and may be passed on. */
-export function judgeHead(
+export function checkResponseHead(
   parts: DirectParts,
   { call }: CallPlan,
   { server }: Candidate,
-  { message, sentAt }: ReceivedHead,
-): SendEnd | undefined {
+  { message, sentAt }: ReceivedResponse,
+): AttemptOutcome | undefined {
   const { backend, board } = parts
   const head = backend.decodeHead(message, call)
   recordAnswerSignals(parts, call, server, { ...head, sentAt })
--- a/packages/router/src/direct/answerRelay.ts
+++ b/packages/router/src/direct/answerRelay.ts
@@ -4,10 +4,10 @@
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { HeaderList } from './dialects.js'
-import { createEventCutter, type EventCutter } from './eventCutter.js'
+import { createSseEventBuffer, type SseEventBuffer } from './eventCutter.js'
 
 /** How reading an answer's body ended. */
-export type BodyEnd = 'whole' | 'broken'
+export type BodyResult = 'whole' | 'broken'
 
 /** Watches whether an answer that ends with its connection ends in order. */
 interface EndWatch {
@@ -36,7 +36,7 @@
 }
 
 /** Collects a body whole; undefined when it broke off. */
-export function readAnswerBody(message: IncomingMessage): Promise<Buffer | undefined> {
+export function readResponseBody(message: IncomingMessage): Promise<Buffer | undefined> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = []
     const watch = watchEnd(message)
@@ -56,7 +56,7 @@
 }
 
 /** Sends a collected answer. */
-export function sendWholeAnswer(
+export function sendBufferedResponse(
   response: ServerResponse,
   status: number,
   headers: HeaderList,
@@ -75,7 +75,7 @@
   /** Id of the last whole event that was passed on; undefined before the first. */
   lastId(): string | undefined
   /** Passes on the events of one answer until it ends or breaks off. */
-  relay(message: IncomingMessage, headers: HeaderList): Promise<BodyEnd>
+  relay(message: IncomingMessage, headers: HeaderList): Promise<BodyResult>
   /** Ends the stream after its last event. */
   finish(): void
 }
@@ -106,7 +106,7 @@
     message.pause()
     response.once('drain', () => message.resume())
   }
-  const cut = (cutter: EventCutter, chunk: Buffer) => {
+  const cut = (cutter: SseEventBuffer, chunk: Buffer) => {
     const whole = cutter.add(chunk)
     lastId = cutter.lastId() ?? lastId
     return isResumable ? whole : chunk
@@ -116,7 +116,7 @@
     lastId: () => lastId,
     relay: (message, headers) =>
       new Promise((resolve) => {
-        const cutter = createEventCutter()
+        const cutter = createSseEventBuffer()
         const watch = watchEnd(message)
         message.on('data', (chunk: Buffer) => pass(message, headers, cut(cutter, chunk)))
         message.on('end', () => {
@@ -135,6 +135,6 @@
 }
 
 /** Whether the caller's end of the connection is closed; the response learns of it some turns later. */
-export function isCallerGone(response: ServerResponse): boolean {
+export function isCallerDisconnected(response: ServerResponse): boolean {
   return response.destroyed || response.socket?.readableEnded === true
 }
--- a/packages/router/src/direct/answerTimes.ts
+++ b/packages/router/src/direct/answerTimes.ts
@@ -2,8 +2,8 @@
 import type { CallPlan } from './callPlan.js'
 import type { DirectParts } from './directParts.js'
 
-/** See {@link createAnswerTimes}. */
-export interface AnswerTimes {
+/** See {@link createRequestTimings}. */
+export interface RequestTimings {
   /** Notes a send of the request, with the prompt tokens that its server has to read. */
   recordSend(unreadTokens: number): void
   /** Notes the first part of the answer; later parts change nothing. */
@@ -15,10 +15,10 @@
 }
 
 /** Creates the times of a request that was not sent yet. */
-export function createAnswerTimes(
+export function createRequestTimings(
   { timers, times, instruments }: Pick<DirectParts, 'timers' | 'times' | 'instruments'>,
   { call, group, arrivedAt }: CallPlan,
-): AnswerTimes {
+): RequestTimings {
   let sent: { readonly at: number; readonly unreadTokens: number } | undefined
   let firstPartMs: number | undefined
 
--- a/packages/router/src/direct/choice.ts
+++ b/packages/router/src/direct/choice.ts
@@ -10,7 +10,7 @@
 import type { Liveness } from './liveness.js'
 import type { PartMemory } from './partMemory.js'
 import type { ServerBoard } from './serverBoard.js'
-import { isOpenTo, judgeServer, type VerdictParts } from './serverVerdict.js'
+import { isSendAllowed, checkServerAvailability, type AvailabilityParts } from './serverVerdict.js'
 import { LONG_PROMPT_TOKENS, type PromptKind, type WorkSplit } from './workSplit.js'
 import type { WorkTimes } from './workTimes.js'
 import {
@@ -56,7 +56,7 @@
 }
 
 /** Parts that a choice reads. */
-export interface ChoiceParts extends VerdictParts {
+export interface ChoiceParts extends AvailabilityParts {
   readonly board: ServerBoard
   readonly memory: PartMemory
   readonly liveness: Liveness
@@ -255,7 +255,7 @@
 export function rankServers(parts: ChoiceParts, input: ChoiceInput): Candidate[] {
   const { view, group, prompt, excluded, formatScope, now } = input
   const { board, memory, liveness, limits } = parts
-  const isOpen = (id: BackendServerId) => isOpenTo(judgeServer(parts, id, now))
+  const isOpen = (id: BackendServerId) => isSendAllowed(checkServerAvailability(parts, id, now))
   const inGroup = [...view.servers.values()].filter(
     (server) => server.group === group.name && server.phase === 'ready',
   )
@@ -271,7 +271,7 @@
     )
   const { engine } = group
   const isShed = ({ id }: RegisteredServer) =>
-    !isOpenTo(parts.backpressure.judgeSend(id, now)) || isShedding(view, id)
+    !isSendAllowed(parts.backpressure.judgeSend(id, now)) || isShedding(view, id)
   const takesParts = (id: BackendServerId) =>
     isOpen(id) && !isShedding(view, id) && !limits.isLimited(id)
   const shares = {
--- a/packages/router/src/direct/eventCutter.ts
+++ b/packages/router/src/direct/eventCutter.ts
@@ -1,7 +1,7 @@
 /** Cutting a stream of server-sent events into whole events, so that a broken one is never passed on. */
 
 /** Collects bytes and hands out what is whole. */
-export interface EventCutter {
+export interface SseEventBuffer {
   /** Adds bytes; returns those up to the end of the last whole event. */
   add(chunk: Buffer): Buffer
   /** Id of the last whole event that was handed out; undefined before the first. */
@@ -21,7 +21,7 @@
 }
 
 /** Creates a cutter at the beginning of a stream. */
-export function createEventCutter(): EventCutter {
+export function createSseEventBuffer(): SseEventBuffer {
   let rest: Buffer = EMPTY
   let lastId: string | undefined
   return {
--- a/packages/router/src/direct/headWait.ts
+++ b/packages/router/src/direct/headWait.ts
@@ -7,12 +7,12 @@
 import type { KeepAliveAgent, TimerService } from '@spoolgate/core'
 import { firstValueFrom } from 'rxjs'
 import type { Liveness, ProbedServer } from './liveness.js'
-import type { Abandoned } from './sendEnd.js'
-import type { Send, SendResult } from './sendOnce.js'
+import type { AbandonedOutcome } from './sendEnd.js'
+import type { SendAttempt, AttemptResult } from './sendOnce.js'
 
-/** Options of {@link waitForHead}. */
-export interface HeadWaitOptions {
-  readonly send: Send
+/** Options of {@link waitForResponseHead}. */
+export interface WaitForHeadOptions {
+  readonly send: SendAttempt
   readonly server: ProbedServer
   readonly timers: TimerService
   readonly liveness: Liveness
@@ -32,9 +32,11 @@
 const SUSPECT_AFTER_MS = 700
 
 /** Waits for the head of an answer; gives the send up where another server should be tried. */
-export async function waitForHead(options: HeadWaitOptions): Promise<SendResult | Abandoned> {
+export async function waitForResponseHead(
+  options: WaitForHeadOptions,
+): Promise<AttemptResult | AbandonedOutcome> {
   const { send, timers, isUnanswered } = options
-  let result: SendResult | undefined
+  let result: AttemptResult | undefined
   const isAnswered = send.result.then((found) => {
     result = found
   })
@@ -52,7 +54,7 @@
 }
 
 /** Finds out why a server that gives no sign of life should not be waited for. */
-async function findDoubt(options: HeadWaitOptions): Promise<string | undefined> {
+async function findDoubt(options: WaitForHeadOptions): Promise<string | undefined> {
   const { liveness, agent, server, mayBeReading } = options
   const isAlive = await liveness.checkAlive(server)
   if (!isAlive) return 'the backend server accepts no connections'
--- a/packages/router/src/direct/sendAdmission.ts
+++ b/packages/router/src/direct/sendAdmission.ts
@@ -15,7 +15,7 @@
 }
 
 /** A send that may begin. */
-export interface AdmittedSend {
+export interface AdmittedAttempt {
   readonly kind: 'admitted'
   readonly candidate: Candidate
   /** Round of the quarantine in which it is sent. */
@@ -25,20 +25,20 @@
 }
 
 /** A send that must not begin. */
-export interface RefusedSend {
+export interface RefusedAttempt {
   readonly kind: 'refused'
   readonly error: SpoolgateError
 }
 
 /** Admits the next send of a request, or says why it is refused. */
-export async function admitSend(
+export async function admitAttempt(
   parts: DirectParts,
   plan: CallPlan,
   state: RequestState,
   log: (event: string, fields: Record<string, unknown>) => void,
-): Promise<AdmittedSend | RefusedSend> {
+): Promise<AdmittedAttempt | RefusedAttempt> {
   // A request that may have run is not refused as one that has not.
-  const refuse = (error: SpoolgateError): RefusedSend => ({
+  const refuse = (error: SpoolgateError): RefusedAttempt => ({
     kind: 'refused',
     error: state.mayHaveRun ? createRefusal(true) : error,
   })
--- a/packages/router/src/direct/sendChoice.ts
+++ b/packages/router/src/direct/sendChoice.ts
@@ -4,8 +4,8 @@
 import { LOADING_MS, rankServers, type Candidate } from './choice.js'
 import type { DirectParts } from './directParts.js'
 import { findComeBackSeconds, drawReturnSeconds } from './refusals.js'
-import { formatChoice } from './sendRecord.js'
-import { judgeServer } from './serverVerdict.js'
+import { formatServerChoice } from './sendRecord.js'
+import { checkServerAvailability } from './serverVerdict.js'
 
 /** Sends of one request, whatever became of them; bounds the work of a request nobody takes. */
 const MAX_SENDS = 4
@@ -37,7 +37,7 @@
   const now = parts.timers.now()
   const instants = [...plan.view.servers.values()]
     .filter(({ group, phase }) => group === plan.group.name && phase === 'ready')
-    .map(({ id }) => judgeServer(parts, id, now))
+    .map(({ id }) => checkServerAvailability(parts, id, now))
     .filter(({ kind }) => kind !== 'leaving')
     .map((verdict) => ('until' in verdict ? verdict.until : now))
   return instants.length === 0 ? now : Math.min(...instants)
@@ -95,6 +95,6 @@
   const isJudged = plan.call.prompt !== undefined && sends === 0
   const hopeless = isJudged ? findHopeless(parts, plan, best, log) : undefined
   if (hopeless) return hopeless
-  log('call.choice', formatChoice(plan, best, allowed.at(1)))
+  log('call.choice', formatServerChoice(plan, best, allowed.at(1)))
   return { kind: 'server', candidate: best }
 }
--- a/packages/router/src/direct/sendEnd.ts
+++ b/packages/router/src/direct/sendEnd.ts
@@ -1,17 +1,17 @@
 /** How one send to a backend server ends, and reading its answer to that end. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
-import { readAnswerBody, sendWholeAnswer, type StreamRelay } from './answerRelay.js'
+import { readResponseBody, sendBufferedResponse, type StreamRelay } from './answerRelay.js'
 import type { HeaderList, BackoffSignal } from './dialects.js'
 import type { CallOutcome } from './serverBoard.js'
 
 /** A send that was given up on because its server seems to be dead; it may have run. */
-export interface Abandoned {
+export interface AbandonedOutcome {
   readonly kind: 'abandoned'
   readonly reason: string
 }
 
 /** The server promises that it did not run the request. */
-export interface NotRun {
+export interface NotRunOutcome {
   readonly kind: 'notRun'
   readonly reason: string
   /** Weights version that the server named. */
@@ -20,7 +20,7 @@
 }
 
 /** The server ran the request and failed; its own answer may be passed on. */
-export interface Failed {
+export interface FailedOutcome {
   readonly kind: 'failed'
   readonly status: number
   readonly reason: string
@@ -28,10 +28,10 @@
 }
 
 /** How one send ended. */
-export type SendEnd =
-  | Abandoned
-  | NotRun
-  | Failed
+export type AttemptOutcome =
+  | AbandonedOutcome
+  | NotRunOutcome
+  | FailedOutcome
   /** The whole answer was passed on. */
   | { readonly kind: 'answered'; readonly status: number }
   /** The server does not know of the request: no connection came up. */
@@ -42,7 +42,7 @@
   | { readonly kind: 'lost'; readonly reason: string }
 
 /** What the end of a send says of its server. */
-export const CALL_OUTCOMES: Readonly<Record<SendEnd['kind'], CallOutcome>> = {
+export const SERVER_OUTCOMES: Readonly<Record<AttemptOutcome['kind'], CallOutcome>> = {
   answered: 'ok',
   notSent: 'none',
   forbidden: 'none',
@@ -53,13 +53,13 @@
 }
 
 /** Statuses that promise callers that nothing ran; only a server's own promise may use them. */
-export const PROMISING_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503])
+export const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503])
 const CLIENT_ERRORS_FROM = 400
 const SERVER_ERRORS_FROM = 500
 const EVENT_STREAM = 'text/event-stream'
 
-/** Options of {@link relayAnswer}. */
-export interface RelayAnswerOptions {
+/** Options of {@link relayResponse}. */
+export interface RelayResponseOptions {
   readonly message: IncomingMessage
   readonly headers: HeaderList
   readonly response: ServerResponse
@@ -69,7 +69,7 @@
 }
 
 /** Passes an answer on to the caller; failures are handed back instead. */
-export async function relayAnswer(options: RelayAnswerOptions): Promise<SendEnd> {
+export async function relayResponse(options: RelayResponseOptions): Promise<AttemptOutcome> {
   const { message, headers, response, relay, isOver } = options
   const status = message.statusCode ?? 0
   const isStream = (message.headers['content-type'] ?? '').startsWith(EVENT_STREAM)
@@ -79,10 +79,10 @@
     if (!isOver()) relay.finish()
     return { kind: 'answered', status }
   }
-  const body = await readAnswerBody(message)
+  const body = await readResponseBody(message)
   if (!body) return { kind: 'lost', reason: 'the answer broke off' }
-  const pass = () => sendWholeAnswer(response, status, headers, body)
-  if (status >= SERVER_ERRORS_FROM || PROMISING_STATUSES.has(status)) {
+  const pass = () => sendBufferedResponse(response, status, headers, body)
+  if (status >= SERVER_ERRORS_FROM || NOT_RUN_STATUSES.has(status)) {
     return { kind: 'failed', status, reason: `status ${status}`, pass }
   }
   if (!isOver()) pass()
--- a/packages/router/src/direct/sendOnce.ts
+++ b/packages/router/src/direct/sendOnce.ts
@@ -13,7 +13,7 @@
 import type { HeaderList } from './dialects.js'
 
 /** What is sent where. */
-export interface SendOptions {
+export interface AttemptOptions {
   readonly agent: Agent
   readonly timers: TimerService
   /** IP number and port. */
@@ -28,7 +28,7 @@
 }
 
 /** What became of a send up to the answer's head. */
-export type SendResult =
+export type AttemptResult =
   | { readonly kind: 'head'; readonly message: IncomingMessage }
   /** No byte can have reached the server. */
   | { readonly kind: 'notSent'; readonly reason: string }
@@ -38,8 +38,8 @@
   | { readonly kind: 'lost'; readonly reason: string }
 
 /** A send in progress. */
-export interface Send {
-  readonly result: Promise<SendResult>
+export interface SendAttempt {
+  readonly result: Promise<AttemptResult>
   /** Whether bytes were written. */
   wasWritten(): boolean
   /** Has the connection looked at while it is idle: where the other side no longer knows it, it is reset. */
@@ -52,13 +52,13 @@
 const PROBE_AFTER_MS = 1_000
 
 /** Starts a send. */
-export function startSend(options: SendOptions): Send {
+export function startAttempt(options: AttemptOptions): SendAttempt {
   const [host, port] = options.address.split(':')
   let isWritten = false
   let isCancelled = false
   let outgoing: ClientRequest | undefined
 
-  const result = new Promise<SendResult>((resolve) => {
+  const result = new Promise<AttemptResult>((resolve) => {
     const fail = (reason: string) => resolve({ kind: isWritten ? 'lost' : 'notSent', reason })
     outgoing = startRequest({
       host,
--- a/packages/router/src/direct/sendRecord.ts
+++ b/packages/router/src/direct/sendRecord.ts
@@ -6,7 +6,7 @@
 import { buildPlacement } from './partMemory.js'
 
 /** Formats a choice with what decided it, and the server that came second. */
-export function formatChoice(
+export function formatServerChoice(
   plan: CallPlan,
   best: Candidate,
   second: Candidate | undefined,
@@ -28,7 +28,7 @@
 }
 
 /** Builds the fields of a send that follow from the choice. */
-export function buildSend(
+export function buildSendFields(
   { call, team }: CallPlan,
   { server, version, fetchFrom, saveTo }: Candidate,
 ): Omit<DirectSend, 'bodyBytes' | 'leftMs' | 'priority' | 'lastEventId'> {
@@ -44,7 +44,7 @@
 }
 
 /** Records the work that a prompt makes for its engine, and where its parts will be. */
-export function recordPrompt(parts: DirectParts, plan: CallPlan, candidate: Candidate): void {
+export function recordSentPrompt(parts: DirectParts, plan: CallPlan, candidate: Candidate): void {
   const { prompt } = plan.call
   const { server, version, saveTo, matchedTokens } = candidate
   if (!prompt || version === undefined) return
--- a/packages/router/src/direct/serveCall.ts
+++ b/packages/router/src/direct/serveCall.ts
@@ -6,35 +6,35 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { BackendServerId, RequestFingerprint, SpoolgateError } from '@spoolgate/core'
 import type { Subscription } from 'rxjs'
-import { judgeHead } from './answerHead.js'
-import { createStreamRelay, isCallerGone, type StreamRelay } from './answerRelay.js'
-import { createAnswerTimes, type AnswerTimes } from './answerTimes.js'
+import { checkResponseHead } from './answerHead.js'
+import { createStreamRelay, isCallerDisconnected, type StreamRelay } from './answerRelay.js'
+import { createRequestTimings, type RequestTimings } from './answerTimes.js'
 import { isProofFresh, rankSend, type CallPlan } from './callPlan.js'
 import type { Candidate } from './choice.js'
 import type { HeaderList } from './dialects.js'
 import type { DirectParts } from './directParts.js'
-import { waitForHead } from './headWait.js'
+import { waitForResponseHead } from './headWait.js'
 import { CONNECT_MS } from './liveness.js'
 import { listStopInputs } from './plannedStop.js'
 import { createRefusal, createTimeoutError, createUnknownError } from './refusals.js'
 import {
-  CALL_OUTCOMES,
-  PROMISING_STATUSES,
-  relayAnswer,
-  type Failed,
-  type NotRun,
-  type SendEnd,
+  SERVER_OUTCOMES,
+  NOT_RUN_STATUSES,
+  relayResponse,
+  type FailedOutcome,
+  type NotRunOutcome,
+  type AttemptOutcome,
 } from './sendEnd.js'
 import { hashRequest } from './requestFingerprint.js'
-import { admitSend, type AdmittedSend, type RequestState } from './sendAdmission.js'
+import { admitAttempt, type AdmittedAttempt, type RequestState } from './sendAdmission.js'
 import { findReturnSeconds } from './sendChoice.js'
-import { buildSend, recordPrompt } from './sendRecord.js'
-import { startSend, type Send } from './sendOnce.js'
+import { buildSendFields, recordSentPrompt } from './sendRecord.js'
+import { startAttempt, type SendAttempt } from './sendOnce.js'
 import { watchSilence } from './serverRestarts.js'
 import type { CallTicket } from './serverBoard.js'
 
 /** Ends of sends that no server began. */
-const NEVER_BEGUN: ReadonlySet<SendEnd['kind']> = new Set(['notSent', 'forbidden', 'notRun'])
+const NEVER_BEGUN: ReadonlySet<AttemptOutcome['kind']> = new Set(['notSent', 'forbidden', 'notRun'])
 
 /** Serves one planned request; resolves once its final answer was given. */
 export async function serveCall(
@@ -54,7 +54,7 @@
   readonly excluded = new Set<BackendServerId>()
   mayHaveRun = false
   private isOver = false
-  private current: Send | undefined
+  private current: SendAttempt | undefined
   private timeout: Subscription | undefined
   sends = 0
   private ticket: CallTicket | undefined
@@ -62,7 +62,7 @@
   private lastSignAt = -Infinity
   /** When the last send began, in ms of the monotonic clock. */
   private sentAt = -Infinity
-  private readonly times: AnswerTimes
+  private readonly times: RequestTimings
   readonly fingerprint: RequestFingerprint
   private stopWaiting: () => void = () => {}
   /** Records that the send in flight broke off. */
@@ -74,7 +74,7 @@
     private readonly body: Buffer,
     private readonly response: ServerResponse,
   ) {
-    this.times = createAnswerTimes(parts, plan)
+    this.times = createRequestTimings(parts, plan)
     this.fingerprint = hashRequest(plan, body)
     this.relay = createStreamRelay({
       response,
@@ -159,11 +159,11 @@
       // A busy router finds a request and the end of its caller's connection together: looking at the
       // sockets once more before each send keeps what nobody waits for from the backend servers.
       await this.parts.turns.take()
-      if (isCallerGone(this.response)) this.stop('callerLeft')
+      if (isCallerDisconnected(this.response)) this.stop('callerLeft')
       if (this.isOver) return
       const refusal = this.findStopRefusal()
       if (refusal) return this.refuse(refusal)
-      const admission = await admitSend(this.parts, this.plan, this, (event, fields) =>
+      const admission = await admitAttempt(this.parts, this.plan, this, (event, fields) =>
         this.log(event, fields),
       )
       if (admission.kind === 'refused') return this.refuse(admission.error)
@@ -176,7 +176,7 @@
   }
 
   /** Sends, and records in the quarantine what became of the request. */
-  private async sendAdmitted({ candidate, round }: AdmittedSend): Promise<SendEnd> {
+  private async sendAdmitted({ candidate, round }: AdmittedAttempt): Promise<AttemptOutcome> {
     const { quarantine, exits } = this.parts
     const { server } = candidate
     this.recordLost = () => exits.recordLost(server, { request: this.fingerprint, round })
@@ -202,12 +202,12 @@
   private buildHeaders(candidate: Candidate): HeaderList | undefined {
     const { parts, plan } = this
     const leftMs = Math.floor(plan.deadline - parts.timers.now())
-    if (leftMs <= 0 || this.isOver || isCallerGone(this.response)) return undefined
+    if (leftMs <= 0 || this.isOver || isCallerDisconnected(this.response)) return undefined
     if (plan.team && !isProofFresh(parts)) return undefined
     this.sentTo.add(candidate.server.id)
     this.mayHaveRun = true
     return parts.backend.encodeHeaders({
-      ...buildSend(plan, candidate),
+      ...buildSendFields(plan, candidate),
       bodyBytes: this.body.length,
       leftMs,
       priority: this.rankNow(candidate),
@@ -232,10 +232,10 @@
     if (this.sends === 0) parts.retries.recordFirst(plan.group.name)
     this.sends += 1
     parts.instruments.sends.add(1, { group: plan.group.name })
-    recordPrompt(parts, plan, candidate)
+    recordSentPrompt(parts, plan, candidate)
   }
 
-  private async sendTo(candidate: Candidate): Promise<SendEnd> {
+  private async sendTo(candidate: Candidate): Promise<AttemptOutcome> {
     const restarted = watchSilence({
       restarts: this.parts.restarts,
       timers: this.parts.timers,
@@ -256,11 +256,11 @@
     }
   }
 
-  private async sendToServer(candidate: Candidate): Promise<SendEnd> {
+  private async sendToServer(candidate: Candidate): Promise<AttemptOutcome> {
     const { parts, plan } = this
     this.recordSend(candidate)
     const couldHaveRun = this.mayHaveRun
-    const send = startSend({
+    const send = startAttempt({
       agent: parts.agent,
       timers: parts.timers,
       address: candidate.server.address,
@@ -271,7 +271,7 @@
       connectMs: CONNECT_MS,
     })
     this.current = send
-    const result = await waitForHead({
+    const result = await waitForResponseHead({
       send,
       server: candidate.server,
       timers: parts.timers,
@@ -285,20 +285,20 @@
     if (result.kind !== 'head') return result
     const { message } = result
     this.ticket?.recordSign()
-    const end = judgeHead(parts, plan, candidate, { message, sentAt: this.sentAt })
+    const end = checkResponseHead(parts, plan, candidate, { message, sentAt: this.sentAt })
     if (end?.kind === 'notRun') this.mayHaveRun = couldHaveRun
     return end ?? this.relayAnswer(message)
   }
 
-  private relayAnswer(message: IncomingMessage): Promise<SendEnd> {
+  private relayAnswer(message: IncomingMessage): Promise<AttemptOutcome> {
     const { response, relay } = this
     const headers = this.parts.backend.listAnswerHeaders(message)
-    return relayAnswer({ message, headers, response, relay, isOver: () => this.isOver })
+    return relayResponse({ message, headers, response, relay, isOver: () => this.isOver })
   }
 
   /** Draws the consequence of one send; true once the request has its final answer. */
-  private async settle(candidate: Candidate, end: SendEnd): Promise<boolean> {
-    this.ticket?.finish(CALL_OUTCOMES[end.kind])
+  private async settle(candidate: Candidate, end: AttemptOutcome): Promise<boolean> {
+    this.ticket?.finish(SERVER_OUTCOMES[end.kind])
     if (end.kind !== 'answered') {
       const { kind, reason } = end
       const backoff = kind === 'notRun' ? end.backoff : undefined
@@ -328,7 +328,7 @@
     }
   }
 
-  private settleNotRun(candidate: Candidate, end: NotRun): boolean {
+  private settleNotRun(candidate: Candidate, end: NotRunOutcome): boolean {
     const { server, version } = candidate
     // A server that only has newer weights than presumed takes the request under their version.
     const isCorrected = (end.version ?? 0) > (version ?? Infinity)
@@ -338,11 +338,11 @@
     return true
   }
 
-  private settleFailed(candidate: Candidate, end: Failed): boolean {
+  private settleFailed(candidate: Candidate, end: FailedOutcome): boolean {
     this.excluded.add(candidate.server.id)
     if (this.mayRepeat()) return false
     // A status that promises "not run" would be false for a request that ran.
-    if (PROMISING_STATUSES.has(end.status)) {
+    if (NOT_RUN_STATUSES.has(end.status)) {
       this.refuse(createUnknownError('the backend server failed'))
       return true
     }
--- a/packages/router/src/direct/serverVerdict.ts
+++ b/packages/router/src/direct/serverVerdict.ts
@@ -4,27 +4,27 @@
 import type { LimitVerdict, ServerLimits } from '../limits/serverLimits.js'
 
 /** Parts that judge a server. */
-export interface VerdictParts {
+export interface AvailabilityParts {
   readonly backpressure: Pick<Backpressure, 'judgeSend'>
   readonly limits: Pick<ServerLimits, 'judgeSend' | 'isLimited' | 'isProbeDue'>
 }
 
 /** What may be sent to a server now. */
-export type ServerVerdict = SendVerdict | LimitVerdict
+export type ServerAvailability = SendVerdict | LimitVerdict
 
 /** Whether a server that was judged so may get a request. */
-export function isOpenTo({ kind }: ServerVerdict): boolean {
+export function isSendAllowed({ kind }: ServerAvailability): boolean {
   return kind === 'open' || kind === 'trial'
 }
 
 /** Judges a server at an instant of the monotonic clock, in ms. */
-export function judgeServer(
-  { backpressure, limits }: VerdictParts,
+export function checkServerAvailability(
+  { backpressure, limits }: AvailabilityParts,
   id: BackendServerId,
   now: number,
-): ServerVerdict {
+): ServerAvailability {
   const verdict = backpressure.judgeSend(id, now)
-  if (!isOpenTo(verdict)) return verdict
+  if (!isSendAllowed(verdict)) return verdict
   const limit = limits.judgeSend(id, now)
   return limit.kind === 'limited' ? limit : verdict
 }
