--- a/packages/router/src/__tests__/answerRelay.spec.ts
+++ b/packages/router/src/__tests__/responseRelay.spec.ts
@@ -2,7 +2,7 @@
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net'
 import { createKeepAliveAgent } from '@spoolgate/core'
 import { expect } from 'chai'
-import { readResponseBody } from '../direct/answerRelay.js'
+import { readResponseBody } from '../direct/responseRelay.js'
 
 type Script = (socket: Socket, turn: number) => void
 
--- a/packages/router/src/direct/sendEnd.ts
+++ b/packages/router/src/direct/attemptOutcome.ts
@@ -1,6 +1,6 @@
 /** How one send to a backend server ends, and reading its answer to that end. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
-import { readResponseBody, sendBufferedResponse, type StreamRelay } from './answerRelay.js'
+import { readResponseBody, sendBufferedResponse, type StreamRelay } from './responseRelay.js'
 import type { HeaderList, BackoffSignal } from './dialects.js'
 import type { CallOutcome } from './serverBoard.js'
 
--- a/packages/router/src/direct/choice.ts
+++ b/packages/router/src/direct/choice.ts
@@ -10,7 +10,11 @@
 import type { Liveness } from './liveness.js'
 import type { PartMemory } from './partMemory.js'
 import type { ServerBoard } from './serverBoard.js'
-import { isSendAllowed, checkServerAvailability, type AvailabilityParts } from './serverVerdict.js'
+import {
+  isSendAllowed,
+  checkServerAvailability,
+  type AvailabilityParts,
+} from './serverAvailability.js'
 import { LONG_PROMPT_TOKENS, type PromptKind, type WorkSplit } from './workSplit.js'
 import type { WorkTimes } from './workTimes.js'
 import {
--- a/packages/router/src/direct/answerHead.ts
+++ b/packages/router/src/direct/responseHead.ts
@@ -4,7 +4,7 @@
 import type { CallPlan } from './callPlan.js'
 import type { Candidate } from './choice.js'
 import type { DirectParts } from './directParts.js'
-import type { AttemptOutcome } from './sendEnd.js'
+import type { AttemptOutcome } from './attemptOutcome.js'
 
 /** A head with the instant at which its request was sent, in ms of the monotonic clock. */
 export interface ReceivedResponse {
--- a/packages/router/src/direct/headWait.ts
+++ b/packages/router/src/direct/responseHeadWait.ts
@@ -7,8 +7,8 @@
 import type { KeepAliveAgent, TimerService } from '@spoolgate/core'
 import { firstValueFrom } from 'rxjs'
 import type { Liveness, ProbedServer } from './liveness.js'
-import type { AbandonedOutcome } from './sendEnd.js'
-import type { SendAttempt, AttemptResult } from './sendOnce.js'
+import type { AbandonedOutcome } from './attemptOutcome.js'
+import type { SendAttempt, AttemptResult } from './sendAttempt.js'
 
 /** Options of {@link waitForResponseHead}. */
 export interface WaitForHeadOptions {
--- a/packages/router/src/direct/answerRelay.ts
+++ b/packages/router/src/direct/responseRelay.ts
@@ -4,7 +4,7 @@
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { HeaderList } from './dialects.js'
-import { createSseEventBuffer, type SseEventBuffer } from './eventCutter.js'
+import { createSseEventBuffer, type SseEventBuffer } from './sseEventBuffer.js'
 
 /** How reading an answer's body ended. */
 export type BodyResult = 'whole' | 'broken'
--- a/packages/router/src/direct/sendChoice.ts
+++ b/packages/router/src/direct/sendChoice.ts
@@ -5,7 +5,7 @@
 import type { DirectParts } from './directParts.js'
 import { findComeBackSeconds, drawReturnSeconds } from './refusals.js'
 import { formatServerChoice } from './sendRecord.js'
-import { checkServerAvailability } from './serverVerdict.js'
+import { checkServerAvailability } from './serverAvailability.js'
 
 /** Sends of one request, whatever became of them; bounds the work of a request nobody takes. */
 const MAX_SENDS = 4
