--- /dev/null
+++ b/packages/control/src/quarantine/trialScheduler.ts
@@ -0,0 +1,91 @@
+/**
+ * Schedules the trials of quarantined requests: one send of one request by one router at a time. A harmful request thus
+ * crashes one more server instead of one per router, and the crash is not attributed to another request on trial.
+ */
+import type { RequestFingerprint, TimerService } from '@spoolgate/core'
+import { QUARANTINE_BOUNDS, type QuarantineState } from '../state/quarantineState.js'
+import { createFingerprintMap } from './fingerprintMap.js'
+import { findQuarantineMs } from './crashReport.js'
+
+/** Options of {@link createTrialScheduler}. */
+export interface TrialSchedulerOptions {
+  readonly quarantine: Pick<QuarantineState, 'find'>
+  readonly timers: TimerService
+}
+
+/** See {@link createTrialScheduler}. */
+export interface TrialScheduler {
+  /** Records that a router did not use the trial that it was granted. */
+  recordUntried(request: RequestFingerprint): void
+  /** Discards the state of a request that was answered, so that its next quarantine starts afresh. */
+  remove(request: RequestFingerprint): void
+  /** Discards all state, as a new leader must. */
+  reset(): void
+  /** Chooses which of the requests that a router has rejected it may send once; undefined for none. */
+  choose(asked: readonly RequestFingerprint[]): RequestFingerprint | undefined
+}
+
+/** State of a quarantined request in its current round. */
+interface QuarantineRound {
+  readonly round: number
+  /** When a router first reported the request in this round, in ms of the monotonic clock. */
+  readonly since: number
+  /** When a trial was last granted; -Infinity for never. */
+  triedAt: number
+}
+
+/** Time during which no other trial is granted, in ms: twice as long as a router keeps an unused trial. */
+const TRIAL_TIMEOUT_MS = 4_000
+/** Time after which a trial without a result is repeated, in ms: longer than the deadlines of callers in production. */
+const TRIAL_RETRY_MS = 20_000
+
+/** Creates a scheduler without trials. */
+export function createTrialScheduler({
+  quarantine,
+  timers,
+}: TrialSchedulerOptions): TrialScheduler {
+  const rounds = createFingerprintMap<QuarantineRound>(QUARANTINE_BOUNDS)
+  let current: { readonly request: RequestFingerprint; readonly state: QuarantineRound } | undefined
+
+  const findRound = (request: RequestFingerprint): QuarantineRound | undefined => {
+    const round = quarantine.find(request)?.round
+    if (round === undefined) return undefined
+    const known = rounds.find(request)
+    if (known?.round === round) return known
+    const started = { round, since: timers.now(), triedAt: -Infinity }
+    rounds.add(request, started)
+    return started
+  }
+  const isDue = (request: RequestFingerprint) => {
+    const known = findRound(request)
+    if (!known) return false
+    const now = timers.now()
+    return (
+      now - known.since >= findQuarantineMs(known.round) && now - known.triedAt >= TRIAL_RETRY_MS
+    )
+  }
+  const isUnderWay = () =>
+    current !== undefined &&
+    quarantine.find(current.request)?.round === current.state.round &&
+    timers.now() - current.state.triedAt < TRIAL_TIMEOUT_MS
+  return {
+    recordUntried: (request) => {
+      const known = rounds.find(request)
+      if (known) known.triedAt = -Infinity
+    },
+    remove: (request) => void rounds.remove(request),
+    reset: () => {
+      rounds.clear()
+      current = undefined
+    },
+    choose: (asked) => {
+      const due = asked.filter(isDue)
+      const [request] = due
+      const state = request === undefined ? undefined : findRound(request)
+      if (request === undefined || !state || isUnderWay()) return undefined
+      state.triedAt = timers.now()
+      current = { request, state }
+      return request
+    },
+  }
+}
