--- a/packages/router/src/__tests__/directParts.spec.ts
+++ b/packages/router/src/__tests__/directParts.spec.ts
@@ -32,7 +32,7 @@
           expect(passed === '' || passed.endsWith('\n\n')).to.equal(true)
         }
         expect(passed).to.equal(text)
-        expect(cutter.hasPart()).to.equal(false)
+        expect(cutter.hasPartialEvent()).to.equal(false)
       }),
       { seed: 11 },
     )
@@ -42,8 +42,8 @@
     const cutter = createSseEventBuffer()
     const whole = cutter.add(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: b'))
     expect(whole.toString()).to.equal('id: 1\ndata: a\n\n')
-    expect(cutter.lastId()).to.equal('1')
-    expect(cutter.hasPart()).to.equal(true)
+    expect(cutter.lastEventId()).to.equal('1')
+    expect(cutter.hasPartialEvent()).to.equal(true)
   })
 })
 
--- a/packages/router/src/direct/attemptAdmission.ts
+++ b/packages/router/src/direct/attemptAdmission.ts
@@ -21,7 +21,7 @@
   /** Round of the quarantine in which it is sent. */
   readonly round: number
   /** Takes the admission back; for sends that no server began. */
-  readonly giveBack: () => void
+  readonly release: () => void
 }
 
 /** A send that must not begin. */
@@ -42,26 +42,31 @@
     kind: 'refused',
     error: state.mayHaveRun ? createUnavailableError(true) : error,
   })
-  const quota = await takeQuota(parts, plan)
-  if (quota.refusal) {
-    log('call.quotaReached', quota.refusal.fields)
+  const quotaDecision = await takeQuota(parts, plan)
+  if (quotaDecision.refusal) {
+    log('call.quotaReached', quotaDecision.refusal.fields)
     parts.instruments.quotaRefusals.add(1, { team: plan.team?.id ?? '' })
-    return refuse(quota.refusal.error)
+    return refuse(quotaDecision.refusal.error)
   }
-  const held = parts.quarantine.admit(state.fingerprint)
-  if (held.kind === 'refused') {
-    quota.giveBack()
-    log('call.quarantined', { round: held.round, leftMs: held.leftMs })
-    return refuse(createQuarantineError(held.leftMs))
+  const quarantineDecision = parts.quarantine.admit(state.fingerprint)
+  if (quarantineDecision.kind === 'refused') {
+    quotaDecision.giveBack()
+    log('call.quarantined', { round: quarantineDecision.round, leftMs: quarantineDecision.leftMs })
+    return refuse(createQuarantineError(quarantineDecision.leftMs))
   }
-  const giveBack = () => {
-    quota.giveBack()
-    held.giveBack()
+  const release = () => {
+    quotaDecision.giveBack()
+    quarantineDecision.giveBack()
   }
   const choice = chooseSend(parts, plan, state, log)
   if (choice.kind === 'server') {
-    return { kind: 'admitted', candidate: choice.candidate, round: held.round, giveBack }
+    return {
+      kind: 'admitted',
+      candidate: choice.candidate,
+      round: quarantineDecision.round,
+      release: release,
+    }
   }
-  giveBack()
+  release()
   return refuse(createUnavailableError(false, choice.retryAfterSeconds))
 }
--- a/packages/router/src/direct/attemptOutcome.ts
+++ b/packages/router/src/direct/attemptOutcome.ts
@@ -24,7 +24,7 @@
   readonly kind: 'failed'
   readonly status: number
   readonly reason: string
-  readonly pass: () => void
+  readonly forward: () => void
 }
 
 /** How one send ended. */
@@ -54,9 +54,9 @@
 
 /** Statuses that promise callers that nothing ran; only a server's own promise may use them. */
 export const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503])
-const CLIENT_ERRORS_FROM = 400
-const SERVER_ERRORS_FROM = 500
-const EVENT_STREAM = 'text/event-stream'
+const MIN_CLIENT_ERROR_STATUS = 400
+const MIN_SERVER_ERROR_STATUS = 500
+const EVENT_STREAM_TYPE = 'text/event-stream'
 
 /** Options of {@link relayResponse}. */
 export interface RelayResponseOptions {
@@ -65,26 +65,26 @@
   readonly response: ServerResponse
   readonly relay: StreamRelay
   /** Whether the request had its final answer in the meantime. */
-  readonly isOver: () => boolean
+  readonly isFinished: () => boolean
 }
 
 /** Passes an answer on to the caller; failures are handed back instead. */
 export async function relayResponse(options: RelayResponseOptions): Promise<AttemptOutcome> {
-  const { message, headers, response, relay, isOver } = options
+  const { message, headers, response, relay, isFinished: isOver } = options
   const status = message.statusCode ?? 0
-  const isStream = (message.headers['content-type'] ?? '').startsWith(EVENT_STREAM)
-  if (isStream && status < CLIENT_ERRORS_FROM) {
-    const end = await relay.relay(message, headers)
-    if (end === 'broken') return { kind: 'lost', reason: 'the stream broke off' }
+  const isStream = (message.headers['content-type'] ?? '').startsWith(EVENT_STREAM_TYPE)
+  if (isStream && status < MIN_CLIENT_ERROR_STATUS) {
+    const bodyResult = await relay.relay(message, headers)
+    if (bodyResult === 'broken') return { kind: 'lost', reason: 'the stream broke off' }
     if (!isOver()) relay.finish()
     return { kind: 'answered', status }
   }
   const body = await readResponseBody(message)
   if (!body) return { kind: 'lost', reason: 'the answer broke off' }
-  const pass = () => sendBufferedResponse(response, status, headers, body)
-  if (status >= SERVER_ERRORS_FROM || NOT_RUN_STATUSES.has(status)) {
-    return { kind: 'failed', status, reason: `status ${status}`, pass }
+  const forward = () => sendBufferedResponse(response, status, headers, body)
+  if (status >= MIN_SERVER_ERROR_STATUS || NOT_RUN_STATUSES.has(status)) {
+    return { kind: 'failed', status, reason: `status ${status}`, forward: forward }
   }
-  if (!isOver()) pass()
+  if (!isOver()) forward()
   return { kind: 'answered', status }
 }
--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -95,17 +95,17 @@
 }
 
 /** Part of an engine's memory that is presumed to be left for cached parts beside running requests. */
-const ENGINE_CACHED_RATIO = 0.85
+const CACHED_MEMORY_RATIO = 0.85
 /** Largest header block that is read, in bytes: twice what tables allow, which is checked later. */
 const MAX_HEADER_BYTES = 32_768
 const DEFAULT_TABLE_WAIT_MS = 1_500
 /** Bounds before the first table, in ms. */
-const INITIAL_HEADER_MS = 3_000
-const INITIAL_IDLE_MS = 15_000
+const INITIAL_HEADERS_TIMEOUT_MS = 3_000
+const INITIAL_KEEP_ALIVE_MS = 15_000
 /** Longest time to send a body, in ms. */
 const BODY_TIMEOUT_MS = 10_000
 /** Time for which a stopping router still serves, in ms: two questions for its readiness. */
-const SERVE_ON_MS = 2_600
+const READINESS_GRACE_MS = 2_600
 /** Idle time of connections to backend servers, in ms, and the margin before their own limit. */
 const BACKEND_IDLE_MS = 30_000
 const BACKEND_IDLE_MARGIN_MS = 1_200
@@ -174,7 +174,7 @@
     const view = feed.current()
     const group = view?.servers.get(place)?.group
     const engine = group === undefined ? undefined : view?.index.findGroup(group)?.engine
-    if (engine) return engine.cacheTokens * ENGINE_CACHED_RATIO
+    if (engine) return engine.cacheTokens * CACHED_MEMORY_RATIO
     // A place that is no server is a store.
     return Math.max(0, ...(view?.index.table.stores.map(({ cacheTokens }) => cacheTokens) ?? []))
   }
@@ -299,7 +299,7 @@
   }
   const sockets = new Set<Socket>()
 
-  const serve = async (
+  const handleRequest = async (
     request: IncomingMessage,
     response: ServerResponse,
     tracked: TrackedRequest,
@@ -339,8 +339,8 @@
     }
   }
   const server = createServer({
-    headersTimeout: INITIAL_HEADER_MS,
-    keepAliveTimeout: INITIAL_IDLE_MS,
+    headersTimeout: INITIAL_HEADERS_TIMEOUT_MS,
+    keepAliveTimeout: INITIAL_KEEP_ALIVE_MS,
     maxHeaderSize: MAX_HEADER_BYTES,
     requestTimeout: 0,
     noDelay: true,
@@ -351,9 +351,9 @@
   })
   server.on('request', (request, response) => {
     const tracked = stop.add(request, response)
-    if (tracked) void serve(request, response, tracked)
+    if (tracked) void handleRequest(request, response, tracked)
   })
-  const boundsWatch = feed.changes.subscribe(({ index }) => {
+  const boundsSubscription = feed.changes.subscribe(({ index }) => {
     const { headerTimeoutMs, idleTimeoutMs } = index.table.bounds
     server.headersTimeout = headerTimeoutMs
     server.keepAliveTimeout = idleTimeoutMs
@@ -372,7 +372,7 @@
     renderMetrics: metrics.render,
     close: async (drainMs) => {
       stop.start(drainMs)
-      await waitFor(timers, Math.min(SERVE_ON_MS, drainMs))
+      await waitFor(timers, Math.min(READINESS_GRACE_MS, drainMs))
       // Timers run before sockets are read: what has arrived meanwhile is not idle.
       await parts.turns.take()
       server.close()
@@ -380,7 +380,7 @@
       await stop.waitUntilIdle()
       const abandoned = stop.reportCutOff()
       for (const socket of sockets) socket.destroy()
-      boundsWatch.unsubscribe()
+      boundsSubscription.unsubscribe()
       restarts.close()
       exits.close()
       liveness.close()
--- a/packages/router/src/direct/requestTimings.ts
+++ b/packages/router/src/direct/requestTimings.ts
@@ -5,11 +5,11 @@
 /** See {@link createRequestTimings}. */
 export interface RequestTimings {
   /** Notes a send of the request, with the prompt tokens that its server has to read. */
-  recordSend(unreadTokens: number): void
+  recordAttempt(unreadTokens: number): void
   /** Notes the first part of the answer; later parts change nothing. */
   recordFirstPart(): void
   /** Notes that a plain service answered. */
-  recordPlainAnswer(): void
+  recordPlainResponse(): void
   /** Time from the arrival to the first part, in ms; undefined before it. */
   firstPartMs(): number | undefined
 }
@@ -19,27 +19,27 @@
   { timers, times, instruments }: Pick<DirectParts, 'timers' | 'times' | 'instruments'>,
   { call, group, arrivedAt }: CallPlan,
 ): RequestTimings {
-  let sent: { readonly at: number; readonly unreadTokens: number } | undefined
+  let lastAttempt: { readonly at: number; readonly unreadTokens: number } | undefined
   let firstPartMs: number | undefined
 
-  const recordWork = () => {
-    if (!sent) return
-    const ms = timers.now() - sent.at
-    if (call.prompt) times.recordRead(group.name, sent.unreadTokens, ms)
-    else times.recordPlain(group.name, ms)
+  const recordDuration = () => {
+    if (!lastAttempt) return
+    const durationMs = timers.now() - lastAttempt.at
+    if (call.prompt) times.recordRead(group.name, lastAttempt.unreadTokens, durationMs)
+    else times.recordPlain(group.name, durationMs)
   }
   return {
-    recordSend: (unreadTokens) => {
-      sent = { at: timers.now(), unreadTokens }
+    recordAttempt: (unreadTokens) => {
+      lastAttempt = { at: timers.now(), unreadTokens }
     },
     recordFirstPart: () => {
       if (firstPartMs !== undefined) return
-      recordWork()
+      recordDuration()
       firstPartMs = timers.now() - arrivedAt
       instruments.firstPartMs.record(firstPartMs)
     },
-    recordPlainAnswer: () => {
-      if (!call.prompt) recordWork()
+    recordPlainResponse: () => {
+      if (!call.prompt) recordDuration()
     },
     firstPartMs: () => firstPartMs,
   }
--- a/packages/router/src/direct/responseHeadWait.ts
+++ b/packages/router/src/direct/responseHeadWait.ts
@@ -18,18 +18,18 @@
   readonly liveness: Liveness
   readonly agent: KeepAliveAgent
   /** Whether the server may take long to read a prompt before its first sign. */
-  readonly mayBeReading: boolean
+  readonly mayBePrefilling: boolean
   /** Whether the request still waits and its server has given no sign of life. */
   readonly isUnanswered: () => boolean
   /** Takes a repeated send, if the request may be repeated. */
-  readonly takeRepeat: () => boolean
+  readonly takeRetry: () => boolean
 }
 
 /**
  * Time without any sign of life after which a server is looked at, in ms: above the longest work of
  * a plain service and the reading of most prompts, below the callers' patience.
  */
-const SUSPECT_AFTER_MS = 700
+const LIVENESS_CHECK_DELAY_MS = 700
 
 /** Waits for the head of an answer; gives the send up where another server should be tried. */
 export async function waitForResponseHead(
@@ -37,25 +37,25 @@
 ): Promise<AttemptResult | AbandonedOutcome> {
   const { send, timers, isUnanswered } = options
   let result: AttemptResult | undefined
-  const isAnswered = send.result.then((found) => {
+  const settled = send.result.then((found) => {
     result = found
   })
   while (!result) {
-    const late = firstValueFrom(timers.after(SUSPECT_AFTER_MS))
-    await Promise.race([isAnswered, late])
-    const isAwaited = () => !result && isUnanswered()
-    if (!isAwaited()) continue
-    const doubt = await findDoubt(options)
-    if (!doubt || !isAwaited() || !options.takeRepeat()) continue
+    const timeout = firstValueFrom(timers.after(LIVENESS_CHECK_DELAY_MS))
+    await Promise.race([settled, timeout])
+    const isStillWaiting = () => !result && isUnanswered()
+    if (!isStillWaiting()) continue
+    const abandonReason = await findAbandonReason(options)
+    if (!abandonReason || !isStillWaiting() || !options.takeRetry()) continue
     send.cancel()
-    return { kind: 'abandoned', reason: doubt }
+    return { kind: 'abandoned', reason: abandonReason }
   }
   return result
 }
 
 /** Finds out why a server that gives no sign of life should not be waited for. */
-async function findDoubt(options: WaitForHeadOptions): Promise<string | undefined> {
-  const { liveness, agent, server, mayBeReading } = options
+async function findAbandonReason(options: WaitForHeadOptions): Promise<string | undefined> {
+  const { liveness, agent, server, mayBePrefilling: mayBeReading } = options
   const isAlive = await liveness.checkAlive(server)
   if (!isAlive) return 'the backend server accepts no connections'
   agent.closeIdle(server.address)
--- a/packages/router/src/direct/responseRelay.ts
+++ b/packages/router/src/direct/responseRelay.ts
@@ -10,8 +10,8 @@
 export type BodyResult = 'whole' | 'broken'
 
 /** Watches whether an answer that ends with its connection ends in order. */
-interface EndWatch {
-  isWhole(): boolean
+interface CompletionWatch {
+  isComplete(): boolean
 }
 
 /**
@@ -20,9 +20,9 @@
  * together with the last bytes, as an end without any error. Only a socket that was reset has lost
  * the address of its other side by then.
  */
-function watchEnd(message: IncomingMessage): EndWatch {
-  const { 'content-length': length, 'transfer-encoding': coding } = message.headers
-  const isFramed = length !== undefined || coding !== undefined
+function watchCompletion(message: IncomingMessage): CompletionWatch {
+  const { 'content-length': length, 'transfer-encoding': transferEncoding } = message.headers
+  const isFramed = length !== undefined || transferEncoding !== undefined
   const { socket } = message
   let isReset = false
   if (!isFramed) {
@@ -31,7 +31,7 @@
     })
   }
   return {
-    isWhole: () => message.complete && (isFramed || (!isReset && socket.errored === null)),
+    isComplete: () => message.complete && (isFramed || (!isReset && socket.errored === null)),
   }
 }
 
@@ -39,9 +39,9 @@
 export function readResponseBody(message: IncomingMessage): Promise<Buffer | undefined> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = []
-    const watch = watchEnd(message)
+    const watch = watchCompletion(message)
     message.on('data', (chunk: Buffer) => chunks.push(chunk))
-    message.on('end', () => resolve(watch.isWhole() ? Buffer.concat(chunks) : undefined))
+    message.on('end', () => resolve(watch.isComplete() ? Buffer.concat(chunks) : undefined))
     message.on('error', () => resolve(undefined))
     message.on('close', () => resolve(undefined))
   })
@@ -73,7 +73,7 @@
   /** Whether the caller has seen the head. */
   hasBegun(): boolean
   /** Id of the last whole event that was passed on; undefined before the first. */
-  lastId(): string | undefined
+  lastEventId(): string | undefined
   /** Passes on the events of one answer until it ends or breaks off. */
   relay(message: IncomingMessage, headers: HeaderList): Promise<BodyResult>
   /** Ends the stream after its last event. */
@@ -86,16 +86,16 @@
   /** Whether a broken answer may be continued, so that only whole events may be passed on. */
   readonly isResumable: boolean
   /** Called at each part that is passed on. */
-  readonly onPart: () => void
+  readonly onChunk: () => void
 }
 
 /** Creates the relay of a stream that has not begun. */
 export function createStreamRelay(options: StreamRelayOptions): StreamRelay {
-  const { response, isResumable, onPart } = options
+  const { response, isResumable, onChunk: onPart } = options
   let lastId: string | undefined
   let hasBegun = false
 
-  const pass = (message: IncomingMessage, headers: HeaderList, data: Buffer) => {
+  const forward = (message: IncomingMessage, headers: HeaderList, data: Buffer) => {
     if (data.length === 0) return
     if (!hasBegun) {
       hasBegun = true
@@ -106,21 +106,23 @@
     message.pause()
     response.once('drain', () => message.resume())
   }
-  const cut = (cutter: SseEventBuffer, chunk: Buffer) => {
-    const whole = cutter.add(chunk)
-    lastId = cutter.lastId() ?? lastId
+  const selectForwardable = (eventBuffer: SseEventBuffer, chunk: Buffer) => {
+    const whole = eventBuffer.add(chunk)
+    lastId = eventBuffer.lastEventId() ?? lastId
     return isResumable ? whole : chunk
   }
   return {
     hasBegun: () => hasBegun,
-    lastId: () => lastId,
+    lastEventId: () => lastId,
     relay: (message, headers) =>
       new Promise((resolve) => {
         const cutter = createSseEventBuffer()
-        const watch = watchEnd(message)
-        message.on('data', (chunk: Buffer) => pass(message, headers, cut(cutter, chunk)))
+        const watch = watchCompletion(message)
+        message.on('data', (chunk: Buffer) =>
+          forward(message, headers, selectForwardable(cutter, chunk)),
+        )
         message.on('end', () => {
-          const isWhole = watch.isWhole() && !cutter.hasPart()
+          const isWhole = watch.isComplete() && !cutter.hasPartialEvent()
           if (isWhole && !hasBegun) {
             hasBegun = true
             writeHead(response, message.statusCode ?? 200, headers)
--- a/packages/router/src/direct/sendAttempt.ts
+++ b/packages/router/src/direct/sendAttempt.ts
@@ -43,13 +43,13 @@
   /** Whether bytes were written. */
   wasWritten(): boolean
   /** Has the connection looked at while it is idle: where the other side no longer knows it, it is reset. */
-  startProbing(): void
+  enableKeepAliveProbes(): void
   /** Gives the send up and closes its connection. */
   cancel(): void
 }
 
 /** Time without a byte after which a connection is looked at, in ms; the least that Linux takes. */
-const PROBE_AFTER_MS = 1_000
+const KEEP_ALIVE_PROBE_DELAY_MS = 1_000
 
 /** Starts a send. */
 export function startAttempt(options: AttemptOptions): SendAttempt {
@@ -68,10 +68,10 @@
       agent: options.agent,
       setHost: false,
     })
-    const sent = outgoing
+    const clientRequest = outgoing
     const connectTimer = options.timers.after(options.connectMs).subscribe(() => {
       fail(`no connection within ${options.connectMs} ms`)
-      sent.destroy()
+      clientRequest.destroy()
     })
     const write = () => {
       connectTimer.unsubscribe()
@@ -79,28 +79,29 @@
       const headers = options.buildHeaders()
       if (!headers) {
         resolve({ kind: 'forbidden', reason: 'too late, or control is out of reach' })
-        sent.destroy()
+        clientRequest.destroy()
         return
       }
       isWritten = true
-      for (const [name, value] of joinFields(headers)) sent.setHeader(name, value)
-      sent.end(options.body)
+      for (const [name, value] of mergeRepeatedFields(headers)) clientRequest.setHeader(name, value)
+      clientRequest.end(options.body)
     }
-    sent.on('socket', (socket: Socket) => {
+    clientRequest.on('socket', (socket: Socket) => {
       if (socket.connecting) socket.once('connect', write)
       else write()
     })
-    sent.on('response', (message) => resolve({ kind: 'head', message }))
-    sent.on('error', (cause) => {
+    clientRequest.on('response', (message) => resolve({ kind: 'head', message }))
+    clientRequest.on('error', (cause) => {
       connectTimer.unsubscribe()
       fail(cause.message)
     })
-    sent.on('close', () => fail('the connection closed'))
+    clientRequest.on('close', () => fail('the connection closed'))
   })
   return {
     result,
     wasWritten: () => isWritten,
-    startProbing: () => void outgoing?.socket?.setKeepAlive(true, PROBE_AFTER_MS),
+    enableKeepAliveProbes: () =>
+      void outgoing?.socket?.setKeepAlive(true, KEEP_ALIVE_PROBE_DELAY_MS),
     cancel: () => {
       isCancelled = true
       outgoing?.destroy()
@@ -109,14 +110,14 @@
 }
 
 /** Joins fields that occur more than once, as Node's client wants them. */
-function joinFields(headers: HeaderList): Map<string, string | string[]> {
+function mergeRepeatedFields(headers: HeaderList): Map<string, string | string[]> {
   const fields = new Map<string, string | string[]>()
-  const spelled = new Map<string, string>()
+  const firstSpellings = new Map<string, string>()
   for (const [name, value] of headers) {
-    const key = spelled.get(name.toLowerCase()) ?? name
-    spelled.set(name.toLowerCase(), key)
-    const known = fields.get(key)
-    fields.set(key, known === undefined ? value : [...[known].flat(), value])
+    const key = firstSpellings.get(name.toLowerCase()) ?? name
+    firstSpellings.set(name.toLowerCase(), key)
+    const existing = fields.get(key)
+    fields.set(key, existing === undefined ? value : [...[existing].flat(), value])
   }
   return fields
 }
--- a/packages/router/src/direct/serveCall.ts
+++ b/packages/router/src/direct/serveCall.ts
@@ -38,7 +38,11 @@
 import type { CallTicket } from './serverBoard.js'
 
 /** Ends of sends that no server began. */
-const NEVER_BEGUN: ReadonlySet<AttemptOutcome['kind']> = new Set(['notSent', 'forbidden', 'notRun'])
+const NOT_STARTED_OUTCOMES: ReadonlySet<AttemptOutcome['kind']> = new Set([
+  'notSent',
+  'forbidden',
+  'notRun',
+])
 
 /** Serves one planned request; resolves once its final answer was given. */
 export async function serveCall(
@@ -57,20 +61,20 @@
   readonly sentTo = new Set<BackendServerId>()
   readonly excluded = new Set<BackendServerId>()
   mayHaveRun = false
-  private isOver = false
-  private current: SendAttempt | undefined
+  private isFinished = false
+  private currentAttempt: SendAttempt | undefined
   private timeout: Subscription | undefined
   sends = 0
   private ticket: CallTicket | undefined
   /** When the last part of the answer came, in ms of the monotonic clock. */
-  private lastSignAt = -Infinity
+  private lastChunkAt = -Infinity
   /** When the last send began, in ms of the monotonic clock. */
   private sentAt = -Infinity
-  private readonly times: RequestTimings
+  private readonly timings: RequestTimings
   readonly fingerprint: RequestFingerprint
-  private stopWaiting: () => void = () => {}
+  private resolveFinished: () => void = () => {}
   /** Records that the send in flight broke off. */
-  private recordLost: () => void = () => {}
+  private recordConnectionLoss: () => void = () => {}
 
   constructor(
     private readonly parts: DirectParts,
@@ -78,49 +82,51 @@
     private readonly body: Buffer,
     private readonly response: ServerResponse,
   ) {
-    this.times = createRequestTimings(parts, plan)
+    this.timings = createRequestTimings(parts, plan)
     this.fingerprint = hashRequest(plan, body)
     this.relay = createStreamRelay({
       response,
       isResumable: plan.route.repeatability === 'resumable',
-      onPart: () => this.recordPart(),
+      onChunk: () => this.recordChunk(),
     })
   }
 
   async run(): Promise<void> {
     const { parts, plan, response } = this
     const leftMs = Math.max(0, plan.deadline - parts.timers.now())
-    const isDone = new Promise<void>((resolve) => {
-      this.stopWaiting = resolve
+    const finished = new Promise<void>((resolve) => {
+      this.resolveFinished = resolve
     })
     response.once('close', () => {
-      if (!response.writableFinished) this.stop('callerLeft')
+      if (!response.writableFinished) this.finish('callerLeft')
     })
-    this.timeout = parts.timers.after(leftMs).subscribe(() => this.giveUpAtDeadline())
-    const work = this.sendUntilAnswered().catch((cause) => {
+    this.timeout = parts.timers.after(leftMs).subscribe(() => this.handleDeadline())
+    const work = this.runAttempts().catch((cause) => {
       const reason = cause instanceof Error ? cause.message : String(cause)
       parts.logger.error('call.internalError', { request: plan.call.id, reason })
-      this.refuse(createOutcomeUnknownError('an internal fault; report it with the request id'))
+      this.finishWithError(
+        createOutcomeUnknownError('an internal fault; report it with the request id'),
+      )
     })
-    await Promise.race([work, isDone])
+    await Promise.race([work, finished])
     this.timeout.unsubscribe()
   }
 
-  private recordPart(): void {
+  private recordChunk(): void {
     this.ticket?.recordFirstPart()
     this.ticket?.recordSign()
-    this.lastSignAt = this.parts.timers.now()
-    this.times.recordFirstPart()
+    this.lastChunkAt = this.parts.timers.now()
+    this.timings.recordFirstPart()
   }
 
   /** Ends all work for a request whose caller is gone or was answered. */
-  private stop(reason: string): void {
-    if (this.isOver) return
-    this.isOver = true
-    this.current?.cancel()
+  private finish(reason: string): void {
+    if (this.isFinished) return
+    this.isFinished = true
+    this.currentAttempt?.cancel()
     this.ticket?.finish('none')
-    this.log('call.end', { outcome: reason, firstPartMs: this.times.firstPartMs() })
-    this.stopWaiting()
+    this.log('call.end', { outcome: reason, firstPartMs: this.timings.firstPartMs() })
+    this.resolveFinished()
   }
 
   private log(event: string, fields: Record<string, unknown>): void {
@@ -137,57 +143,57 @@
     })
   }
 
-  private giveUpAtDeadline(): void {
-    if (this.isOver) return
+  private handleDeadline(): void {
+    if (this.isFinished) return
     // A crashed server accepts no connections; a slow one does.
-    if (this.ticket?.isUnanswered()) this.recordLost()
+    if (this.ticket?.isUnanswered()) this.recordConnectionLoss()
     if (this.relay.hasBegun()) {
-      this.stop('timedOutInStream')
+      this.finish('timedOutInStream')
       this.response.destroy()
       return
     }
-    this.refuse(createTimeoutError(this.mayHaveRun))
+    this.finishWithError(createTimeoutError(this.mayHaveRun))
   }
 
   /** Gives the final answer of a request that nobody answered. */
-  private refuse(error: SpoolgateError): void {
-    if (this.isOver) return
+  private finishWithError(error: SpoolgateError): void {
+    if (this.isFinished) return
     this.parts.instruments.refusals.add(1, { kind: error.kind })
-    this.stop(error.kind)
+    this.finish(error.kind)
     if (this.relay.hasBegun()) this.response.destroy()
     else this.parts.caller.sendRefusal(this.response, this.plan.call, error)
   }
 
-  private async sendUntilAnswered(): Promise<void> {
-    while (!this.isOver) {
+  private async runAttempts(): Promise<void> {
+    while (!this.isFinished) {
       // A busy router finds a request and the end of its caller's connection together: looking at the
       // sockets once more before each send keeps what nobody waits for from the backend servers.
       await this.parts.turns.take()
-      if (isCallerDisconnected(this.response)) this.stop('callerLeft')
-      if (this.isOver) return
-      const refusal = this.findStopRefusal()
-      if (refusal) return this.refuse(refusal)
+      if (isCallerDisconnected(this.response)) this.finish('callerLeft')
+      if (this.isFinished) return
+      const refusal = this.findShutdownRefusal()
+      if (refusal) return this.finishWithError(refusal)
       const admission = await admitAttempt(this.parts, this.plan, this, (event, fields) =>
         this.log(event, fields),
       )
-      if (admission.kind === 'refused') return this.refuse(admission.error)
-      if (this.isOver) return admission.giveBack()
-      const end = await this.sendAdmitted(admission)
-      if (NEVER_BEGUN.has(end.kind)) admission.giveBack()
-      if (this.isOver) return
-      if (await this.settle(admission.candidate, end)) return
+      if (admission.kind === 'refused') return this.finishWithError(admission.error)
+      if (this.isFinished) return admission.release()
+      const end = await this.runAdmittedAttempt(admission)
+      if (NOT_STARTED_OUTCOMES.has(end.kind)) admission.release()
+      if (this.isFinished) return
+      if (await this.handleOutcome(admission.candidate, end)) return
     }
   }
 
   /** Sends, and records in the quarantine what became of the request. */
-  private async sendAdmitted({ candidate, round }: AdmittedAttempt): Promise<AttemptOutcome> {
+  private async runAdmittedAttempt({ candidate, round }: AdmittedAttempt): Promise<AttemptOutcome> {
     const { quarantine, exits } = this.parts
     const { server } = candidate
-    this.recordLost = () => exits.recordLost(server, { request: this.fingerprint, round })
-    const end = await this.sendTo(candidate)
+    this.recordConnectionLoss = () => exits.recordLost(server, { request: this.fingerprint, round })
+    const end = await this.sendWithStallWatch(candidate)
     const isLost = end.kind === 'lost' || end.kind === 'abandoned'
     // What this router broke off itself shows nothing.
-    if (isLost && !this.isOver) this.recordLost()
+    if (isLost && !this.isFinished) this.recordConnectionLoss()
     if (end.kind === 'answered') quarantine.recordAnswered(this.fingerprint)
     return end
   }
@@ -196,7 +202,7 @@
    * A request that servers refused may still be begun elsewhere, rather than here by a router that
    * may not see its end; what may have run goes on. The first send was judged before.
    */
-  private findStopRefusal(): SpoolgateError | undefined {
+  private findShutdownRefusal(): SpoolgateError | undefined {
     if (this.sends === 0 || this.mayHaveRun) return undefined
     const refusal = this.parts.stop.findRefusal(this.plan)
     if (refusal) this.log('call.notSentAgain', listRefusalFields(refusal))
@@ -206,7 +212,7 @@
   private buildHeaders(candidate: Candidate): HeaderList | undefined {
     const { parts, plan } = this
     const leftMs = Math.floor(plan.deadline - parts.timers.now())
-    if (leftMs <= 0 || this.isOver || isCallerDisconnected(this.response)) return undefined
+    if (leftMs <= 0 || this.isFinished || isCallerDisconnected(this.response)) return undefined
     if (plan.team && !isProofFresh(parts)) return undefined
     this.sentTo.add(candidate.server.id)
     this.mayHaveRun = true
@@ -214,56 +220,56 @@
       ...buildSendFields(plan, candidate),
       bodyBytes: this.body.length,
       leftMs,
-      priority: this.rankNow(candidate),
-      lastEventId: this.relay.lastId() ?? plan.call.lastEventId,
+      priority: this.rankAttempt(candidate),
+      lastEventId: this.relay.lastEventId() ?? plan.call.lastEventId,
     })
   }
 
-  private rankNow({ expectedMs }: Candidate): number {
+  private rankAttempt({ expectedMs }: Candidate): number {
     const { plan, parts, relay } = this
     if (relay.hasBegun()) return plan.priority
     return rankSend(plan, parts.timers.now() - plan.arrivedAt + expectedMs)
   }
 
-  private recordSend(candidate: Candidate): void {
+  private recordAttempt(candidate: Candidate): void {
     const { parts, plan } = this
     const { server, unreadTokens } = candidate
     this.ticket = parts.board.open(server.id, unreadTokens)
     this.sentAt = parts.timers.now()
     parts.backpressure.recordSend(server.id, this.sentAt)
     parts.limits.recordSend(server.id, this.sentAt)
-    this.times.recordSend(unreadTokens)
+    this.timings.recordAttempt(unreadTokens)
     if (this.sends === 0) parts.retries.recordFirst(plan.group.name)
     this.sends += 1
     parts.instruments.sends.add(1, { group: plan.group.name })
     recordSentPrompt(parts, plan, candidate)
   }
 
-  private async sendTo(candidate: Candidate): Promise<AttemptOutcome> {
-    const restarted = watchStall({
+  private async sendWithStallWatch(candidate: Candidate): Promise<AttemptOutcome> {
+    const stallWatch = watchStall({
       restarts: this.parts.restarts,
       timers: this.parts.timers,
       server: candidate.server.id,
-      lastSignAt: () => this.lastSignAt,
+      lastSignAt: () => this.lastChunkAt,
       onRestart: () => {
         this.log('call.serverRestarted', { server: candidate.server.id })
-        this.current?.startProbing()
+        this.currentAttempt?.enableKeepAliveProbes()
       },
       onSilent: () => {
-        if (!this.isOver && this.isRepeatable()) this.current?.cancel()
+        if (!this.isFinished && this.isRetryable()) this.currentAttempt?.cancel()
       },
     })
     try {
       return await this.sendToServer(candidate)
     } finally {
-      restarted.unsubscribe()
+      stallWatch.unsubscribe()
     }
   }
 
   private async sendToServer(candidate: Candidate): Promise<AttemptOutcome> {
     const { parts, plan } = this
-    this.recordSend(candidate)
-    const couldHaveRun = this.mayHaveRun
+    this.recordAttempt(candidate)
+    const previousMayHaveRun = this.mayHaveRun
     const send = startAttempt({
       agent: parts.agent,
       timers: parts.timers,
@@ -274,34 +280,35 @@
       body: this.body,
       connectMs: CONNECT_MS,
     })
-    this.current = send
+    this.currentAttempt = send
     const result = await waitForResponseHead({
       send,
       server: candidate.server,
       timers: parts.timers,
       liveness: parts.liveness,
       agent: parts.agent,
-      mayBeReading: plan.call.prompt !== undefined,
-      isUnanswered: () => !this.isOver && this.ticket?.isUnanswered() === true,
-      takeRepeat: () => this.mayRepeat(),
+      mayBePrefilling: plan.call.prompt !== undefined,
+      isUnanswered: () => !this.isFinished && this.ticket?.isUnanswered() === true,
+      takeRetry: () => this.takeRetry(),
     })
-    if (result.kind === 'notSent' || result.kind === 'forbidden') this.mayHaveRun = couldHaveRun
+    if (result.kind === 'notSent' || result.kind === 'forbidden')
+      this.mayHaveRun = previousMayHaveRun
     if (result.kind !== 'head') return result
     const { message } = result
     this.ticket?.recordSign()
     const end = checkResponseHead(parts, plan, candidate, { message, sentAt: this.sentAt })
-    if (end?.kind === 'notRun') this.mayHaveRun = couldHaveRun
-    return end ?? this.relayAnswer(message)
+    if (end?.kind === 'notRun') this.mayHaveRun = previousMayHaveRun
+    return end ?? this.relayToCaller(message)
   }
 
-  private relayAnswer(message: IncomingMessage): Promise<AttemptOutcome> {
+  private relayToCaller(message: IncomingMessage): Promise<AttemptOutcome> {
     const { response, relay } = this
     const headers = this.parts.backend.listAnswerHeaders(message)
-    return relayResponse({ message, headers, response, relay, isOver: () => this.isOver })
+    return relayResponse({ message, headers, response, relay, isFinished: () => this.isFinished })
   }
 
   /** Draws the consequence of one send; true once the request has its final answer. */
-  private async settle(candidate: Candidate, end: AttemptOutcome): Promise<boolean> {
+  private async handleOutcome(candidate: Candidate, end: AttemptOutcome): Promise<boolean> {
     this.ticket?.finish(SERVER_OUTCOMES[end.kind])
     if (end.kind !== 'answered') {
       const { kind, reason } = end
@@ -310,8 +317,8 @@
     }
     switch (end.kind) {
       case 'answered':
-        this.times.recordPlainAnswer()
-        this.stop('answered')
+        this.timings.recordPlainResponse()
+        this.finish('answered')
         return true
       case 'notSent':
         this.parts.liveness.recordDead(candidate.server)
@@ -321,58 +328,60 @@
         this.excluded.add(candidate.server.id)
         return false
       case 'forbidden':
-        this.refuse(createUnavailableError(this.mayHaveRun))
+        this.finishWithError(createUnavailableError(this.mayHaveRun))
         return true
       case 'notRun':
-        return this.settleNotRun(candidate, end)
+        return this.handleNotRun(candidate, end)
       case 'failed':
-        return this.settleFailed(candidate, end)
+        return this.handleFailed(candidate, end)
       case 'lost':
-        return this.settleLost(candidate, end.reason)
+        return this.handleLost(candidate, end.reason)
     }
   }
 
-  private settleNotRun(candidate: Candidate, end: NotRunOutcome): boolean {
+  private handleNotRun(candidate: Candidate, end: NotRunOutcome): boolean {
     const { server, version } = candidate
     // A server that only has newer weights than presumed takes the request under their version.
-    const isCorrected = (end.version ?? 0) > (version ?? Infinity)
-    if (!isCorrected) this.excluded.add(server.id)
+    const hasNewerVersion = (end.version ?? 0) > (version ?? Infinity)
+    if (!hasNewerVersion) this.excluded.add(server.id)
     if (this.parts.retries.take(this.plan.group.name)) return false
-    this.refuse(createUnavailableError(this.mayHaveRun, findReturnSeconds(this.parts, this.plan)))
+    this.finishWithError(
+      createUnavailableError(this.mayHaveRun, findReturnSeconds(this.parts, this.plan)),
+    )
     return true
   }
 
-  private settleFailed(candidate: Candidate, end: FailedOutcome): boolean {
+  private handleFailed(candidate: Candidate, end: FailedOutcome): boolean {
     this.excluded.add(candidate.server.id)
-    if (this.mayRepeat()) return false
+    if (this.takeRetry()) return false
     // A status that promises "not run" would be false for a request that ran.
     if (NOT_RUN_STATUSES.has(end.status)) {
-      this.refuse(createOutcomeUnknownError('the backend server failed'))
+      this.finishWithError(createOutcomeUnknownError('the backend server failed'))
       return true
     }
-    this.stop(`status${end.status}`)
-    end.pass()
+    this.finish(`status${end.status}`)
+    end.forward()
     return true
   }
 
-  private settleLost(candidate: Candidate, reason: string): boolean {
+  private handleLost(candidate: Candidate, reason: string): boolean {
     this.excluded.add(candidate.server.id)
-    if (this.mayRepeat()) return false
-    this.refuse(createOutcomeUnknownError(reason))
+    if (this.takeRetry()) return false
+    this.finishWithError(createOutcomeUnknownError(reason))
     return true
   }
 
   /** Whether the kind of the request, and what its caller has got of it, allow that it runs again. */
-  private isRepeatable(): boolean {
+  private isRetryable(): boolean {
     const { repeatability } = this.plan.route
     if (repeatability === 'once') return false
     return !this.relay.hasBegun() || repeatability === 'resumable'
   }
 
   /** Whether a request that may have run may be sent to another server now. */
-  private mayRepeat(): boolean {
+  private takeRetry(): boolean {
     const { route, group } = this.plan
-    if (!this.isRepeatable()) return false
+    if (!this.isRetryable()) return false
     if (this.sentTo.size >= route.maxServers) return false
     return this.parts.retries.take(group.name)
   }
--- a/packages/router/src/direct/serverAvailability.ts
+++ b/packages/router/src/direct/serverAvailability.ts
@@ -23,8 +23,8 @@
   id: BackendServerId,
   now: number,
 ): ServerAvailability {
-  const verdict = backpressure.judgeSend(id, now)
-  if (!isSendAllowed(verdict)) return verdict
-  const limit = limits.judgeSend(id, now)
-  return limit.kind === 'limited' ? limit : verdict
+  const backoffVerdict = backpressure.judgeSend(id, now)
+  if (!isSendAllowed(backoffVerdict)) return backoffVerdict
+  const limitVerdict = limits.judgeSend(id, now)
+  return limitVerdict.kind === 'limited' ? limitVerdict : backoffVerdict
 }
--- a/packages/router/src/direct/sseEventBuffer.ts
+++ b/packages/router/src/direct/sseEventBuffer.ts
@@ -5,36 +5,36 @@
   /** Adds bytes; returns those up to the end of the last whole event. */
   add(chunk: Buffer): Buffer
   /** Id of the last whole event that was handed out; undefined before the first. */
-  lastId(): string | undefined
+  lastEventId(): string | undefined
   /** Whether an event was begun and not ended. */
-  hasPart(): boolean
+  hasPartialEvent(): boolean
 }
 
 const EMPTY = Buffer.alloc(0)
 const EVENT_ID = /^id: ?(.*)$/gm
 
 /** Finds the end of the last whole event. */
-function findLastEnd(data: Buffer): number {
-  const plain = data.lastIndexOf('\n\n')
-  const withReturns = data.lastIndexOf('\r\n\r\n')
-  return Math.max(plain === -1 ? 0 : plain + 2, withReturns === -1 ? 0 : withReturns + 4)
+function findLastEventEnd(data: Buffer): number {
+  const lastLf = data.lastIndexOf('\n\n')
+  const lastCrLf = data.lastIndexOf('\r\n\r\n')
+  return Math.max(lastLf === -1 ? 0 : lastLf + 2, lastCrLf === -1 ? 0 : lastCrLf + 4)
 }
 
 /** Creates a cutter at the beginning of a stream. */
 export function createSseEventBuffer(): SseEventBuffer {
-  let rest: Buffer = EMPTY
-  let lastId: string | undefined
+  let pending: Buffer = EMPTY
+  let lastEventId: string | undefined
   return {
     add: (chunk) => {
-      const data = rest.length === 0 ? chunk : Buffer.concat([rest, chunk])
-      const end = findLastEnd(data)
-      rest = data.subarray(end)
+      const data = pending.length === 0 ? chunk : Buffer.concat([pending, chunk])
+      const end = findLastEventEnd(data)
+      pending = data.subarray(end)
       if (end === 0) return EMPTY
       const whole = data.subarray(0, end)
-      for (const match of whole.toString('latin1').matchAll(EVENT_ID)) lastId = match[1].trim()
+      for (const match of whole.toString('latin1').matchAll(EVENT_ID)) lastEventId = match[1].trim()
       return whole
     },
-    lastId: () => lastId,
-    hasPart: () => rest.length > 0,
+    lastEventId: () => lastEventId,
+    hasPartialEvent: () => pending.length > 0,
   }
 }
