--- a/packages/router/src/direct/attemptAdmission.ts
+++ b/packages/router/src/direct/attemptAdmission.ts
@@ -1,4 +1,4 @@
-/** Admission of one send of a request: by the limit of its team, by the quarantine, and by what servers can take. */
+/** Admits one attempt to send a request: checks the team's quota, the quarantine and the available servers. */
 import type { RequestFingerprint, SpoolgateError } from '@spoolgate/core'
 import type { CallPlan } from './callPlan.js'
 import type { Candidate } from './choice.js'
@@ -7,37 +7,37 @@
 import { createQuarantineError, createUnavailableError } from './errorResponses.js'
 import { chooseSend, type SendsSoFar } from './sendChoice.js'
 
-/** What has become of a request so far. */
+/** Progress of a request across its attempts. */
 export interface RequestState extends SendsSoFar {
   readonly fingerprint: RequestFingerprint
-  /** Whether a server may have run the request. */
+  /** Whether a server may have executed the request. */
   readonly mayHaveRun: boolean
 }
 
-/** A send that may begin. */
+/** An attempt that may start. */
 export interface AdmittedAttempt {
   readonly kind: 'admitted'
   readonly candidate: Candidate
-  /** Round of the quarantine in which it is sent. */
+  /** Quarantine round in which the request is sent. */
   readonly round: number
-  /** Takes the admission back; for sends that no server began. */
+  /** Returns the quota and the quarantine slot; for attempts that no server executed. */
   readonly release: () => void
 }
 
-/** A send that must not begin. */
+/** An attempt that must not start. */
 export interface RefusedAttempt {
   readonly kind: 'refused'
   readonly error: SpoolgateError
 }
 
-/** Admits the next send of a request, or says why it is refused. */
+/** Admits the next attempt of a request, or returns the error to answer it with. */
 export async function admitAttempt(
   parts: DirectParts,
   plan: CallPlan,
   state: RequestState,
   log: (event: string, fields: Record<string, unknown>) => void,
 ): Promise<AdmittedAttempt | RefusedAttempt> {
-  // A request that may have run is not refused as one that has not.
+  // A request that may have been executed must not get an error that promises that it was not.
   const refuse = (error: SpoolgateError): RefusedAttempt => ({
     kind: 'refused',
     error: state.mayHaveRun ? createUnavailableError(true) : error,
@@ -64,7 +64,7 @@
       kind: 'admitted',
       candidate: choice.candidate,
       round: quarantineDecision.round,
-      release: release,
+      release,
     }
   }
   release()
--- a/packages/router/src/direct/attemptOutcome.ts
+++ b/packages/router/src/direct/attemptOutcome.ts
@@ -1,10 +1,10 @@
-/** How one send to a backend server ends, and reading its answer to that end. */
+/** Outcomes of one attempt at a backend server, and the relay of its response up to that outcome. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { readResponseBody, sendBufferedResponse, type StreamRelay } from './responseRelay.js'
 import type { HeaderList, BackoffSignal } from './dialects.js'
 import type { CallOutcome } from './serverBoard.js'
 
-/** A send that was given up on because its server seems to be dead; it may have run. */
+/** The attempt was abandoned because its server seems to be dead; the request may have run. */
 export interface AbandonedOutcome {
   readonly kind: 'abandoned'
   readonly reason: string
@@ -14,12 +14,12 @@
 export interface NotRunOutcome {
   readonly kind: 'notRun'
   readonly reason: string
-  /** Weights version that the server named. */
+  /** Weights version reported by the server. */
   readonly version: number | undefined
   readonly backoff: BackoffSignal | undefined
 }
 
-/** The server ran the request and failed; its own answer may be passed on. */
+/** The server ran the request and failed; its own response may be forwarded. */
 export interface FailedOutcome {
   readonly kind: 'failed'
   readonly status: number
@@ -27,21 +27,21 @@
   readonly forward: () => void
 }
 
-/** How one send ended. */
+/** How one attempt ended. */
 export type AttemptOutcome =
   | AbandonedOutcome
   | NotRunOutcome
   | FailedOutcome
-  /** The whole answer was passed on. */
+  /** The whole response was forwarded. */
   | { readonly kind: 'answered'; readonly status: number }
-  /** The server does not know of the request: no connection came up. */
+  /** The server received nothing: no connection was established. */
   | { readonly kind: 'notSent'; readonly reason: string }
-  /** The time is over, or this router may no longer trust what it holds; no byte was sent. */
+  /** The deadline has passed, the caller is gone, or the routing table is too old to trust; no byte was sent. */
   | { readonly kind: 'forbidden'; readonly reason: string }
-  /** Nobody knows whether the request ran, or its stream broke off. */
+  /** It is unknown whether the request ran, or its stream broke off. */
   | { readonly kind: 'lost'; readonly reason: string }
 
-/** What the end of a send says of its server. */
+/** What each outcome says about its server. */
 export const SERVER_OUTCOMES: Readonly<Record<AttemptOutcome['kind'], CallOutcome>> = {
   answered: 'ok',
   notSent: 'none',
@@ -52,7 +52,7 @@
   abandoned: 'none',
 }
 
-/** Statuses that promise callers that nothing ran; only a server's own promise may use them. */
+/** Statuses that tell callers that the request was not run; forwarded only when the server itself guarantees that. */
 export const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503])
 const MIN_CLIENT_ERROR_STATUS = 400
 const MIN_SERVER_ERROR_STATUS = 500
@@ -64,27 +64,27 @@
   readonly headers: HeaderList
   readonly response: ServerResponse
   readonly relay: StreamRelay
-  /** Whether the request had its final answer in the meantime. */
+  /** Whether the request has been completed in the meantime. */
   readonly isFinished: () => boolean
 }
 
-/** Passes an answer on to the caller; failures are handed back instead. */
+/** Relays a response to the caller; failures are returned instead. */
 export async function relayResponse(options: RelayResponseOptions): Promise<AttemptOutcome> {
-  const { message, headers, response, relay, isFinished: isOver } = options
+  const { message, headers, response, relay, isFinished } = options
   const status = message.statusCode ?? 0
   const isStream = (message.headers['content-type'] ?? '').startsWith(EVENT_STREAM_TYPE)
   if (isStream && status < MIN_CLIENT_ERROR_STATUS) {
     const bodyResult = await relay.relay(message, headers)
-    if (bodyResult === 'broken') return { kind: 'lost', reason: 'the stream broke off' }
-    if (!isOver()) relay.finish()
+    if (bodyResult === 'broken') return { kind: 'lost', reason: 'the response stream broke off' }
+    if (!isFinished()) relay.finish()
     return { kind: 'answered', status }
   }
   const body = await readResponseBody(message)
-  if (!body) return { kind: 'lost', reason: 'the answer broke off' }
+  if (!body) return { kind: 'lost', reason: 'the response broke off' }
   const forward = () => sendBufferedResponse(response, status, headers, body)
   if (status >= MIN_SERVER_ERROR_STATUS || NOT_RUN_STATUSES.has(status)) {
-    return { kind: 'failed', status, reason: `status ${status}`, forward: forward }
+    return { kind: 'failed', status, reason: `status ${status}`, forward }
   }
-  if (!isOver()) forward()
+  if (!isFinished()) forward()
   return { kind: 'answered', status }
 }
--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -1,6 +1,6 @@
 /**
- * A router of the direct path: callers' requests go to backend servers without a sidecar between. It
- * holds nothing that a restart would miss; table, weights and servers come by the feed from control.
+ * A router of the direct path: forwards callers' requests to backend servers without a sidecar in between. It keeps no
+ * state that must survive a restart; the feed from control supplies the routing table, weights and servers.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
@@ -56,26 +56,26 @@
   readonly instance: string
   readonly hall: string
   readonly host: string
-  /** Port for callers; 0 lets the machine choose. */
+  /** Port for callers; 0 lets the operating system choose. */
   readonly port: number
-  /** URLs of the control instances to start from; read again whenever they are needed. */
+  /** URLs of the control instances to contact first; called each time they are needed. */
   readonly seeds: () => readonly string[]
   readonly caller: CallerDialect
   readonly backend: BackendDialect
   readonly decodeTable: (document: string) => RoutingTable
   readonly retryBounds: RetryBounds
-  /** Age of the proof of the newest table beyond which keys are not trusted, in ms. */
+  /** Maximum age of the proof that the routing table is the newest, in ms; older keys are not trusted. */
   readonly maxProofAgeMs: number
   readonly logger: Logger
   readonly timers: TimerService
   /**
-   * Longest wait of a request for the first table, in ms.
-   * @default 1500, since a leader is elected within a second after all instances started together
+   * Maximum time that a request waits for the first routing table, in ms.
+   * @default 1500, since a leader is elected within a second after all instances have started together
    */
   readonly tableWaitMs?: number
   /**
-   * Seed of the choices that are drawn.
-   * @default drawn from the clock
+   * Seed of the random choices.
+   * @default derived from the clock
    */
   readonly seed?: number
 }
@@ -84,32 +84,32 @@
 export interface DirectRouter {
   readonly port: number
   readonly feed: FeedFollower
-  /** Says why callers should not be sent here, or undefined when they may. */
+  /** Returns why the router is not ready for callers, or undefined if it is. */
   findUnreadyReason(): string | undefined
   renderMetrics(): Promise<string>
   /**
-   * Ends as planned: says at once that it is not ready, serves on until callers have been sent
-   * elsewhere, then waits for what is in progress.
+   * Shuts down gracefully: reports not ready at once, keeps serving until callers have moved to other routers, then
+   * waits for the requests in progress, for `drainMs` at most.
    */
   close(drainMs: number): Promise<CloseReport>
 }
 
-/** Part of an engine's memory that is presumed to be left for cached parts beside running requests. */
+/** Fraction of an engine's cache memory presumed to hold cached prompt parts while requests are running. */
 const CACHED_MEMORY_RATIO = 0.85
-/** Largest header block that is read, in bytes: twice what tables allow, which is checked later. */
+/** Maximum size of the request headers, in bytes: twice what routing tables allow, which is checked later. */
 const MAX_HEADER_BYTES = 32_768
 const DEFAULT_TABLE_WAIT_MS = 1_500
-/** Bounds before the first table, in ms. */
+/** Timeouts until the first routing table arrives, in ms. */
 const INITIAL_HEADERS_TIMEOUT_MS = 3_000
 const INITIAL_KEEP_ALIVE_MS = 15_000
-/** Longest time to send a body, in ms. */
+/** Timeout for receiving a request body, in ms. */
 const BODY_TIMEOUT_MS = 10_000
-/** Time for which a stopping router still serves, in ms: two questions for its readiness. */
+/** Time for which a router that shuts down still accepts requests, in ms: two readiness checks. */
 const READINESS_GRACE_MS = 2_600
-/** Idle time of connections to backend servers, in ms, and the margin before their own limit. */
+/** Idle timeout of connections to backend servers, and the margin before the servers' own timeout, in ms. */
 const BACKEND_IDLE_MS = 30_000
 const BACKEND_IDLE_MARGIN_MS = 1_200
-/** Servers with a limit in one log line. */
+/** Maximum number of rate-limited servers in one log line. */
 const MAX_LOGGED_LIMITS = 20
 
 function createInstruments(metrics: ReturnType<typeof createMetrics>): DirectInstruments {
@@ -128,7 +128,7 @@
   }
 }
 
-/** Formats the limits of servers for the log: requests a second, and the part of them that this router may use. */
+/** Formats rate limits of servers for the log: requests per second, and the share that this router may use. */
 function formatLimits({ servers, hasParts }: LimitsUpdate): Record<string, unknown> {
   const limited = servers.filter(({ perSecond }) => perSecond !== null)
   const shown = limited.slice(0, MAX_LOGGED_LIMITS)
@@ -141,7 +141,7 @@
   }
 }
 
-/** Starts to listen and returns the port. */
+/** Starts listening and returns the port. */
 function startListening(server: Server, host: string, port: number): Promise<number> {
   return new Promise((resolve, reject) => {
     server.once('error', reject)
@@ -153,7 +153,7 @@
   })
 }
 
-/** Creates a router and waits until it listens. */
+/** Creates a router and waits until it is listening. */
 export async function createDirectRouter(options: DirectRouterOptions): Promise<DirectRouter> {
   const { timers, logger, caller } = options
   const metrics = createMetrics('router')
@@ -169,13 +169,13 @@
     probe: openProbe,
     isRegistered: (id) => feed.current()?.servers.has(id) ?? false,
   })
-  const memory = createPartMemory({ findCacheTokens: (place) => findCacheTokens(place) })
+  const memory = createPartMemory({ findCacheTokens: (holder) => findCacheTokens(holder) })
   const findCacheTokens = (place: BackendServerId): number => {
     const view = feed.current()
     const group = view?.servers.get(place)?.group
     const engine = group === undefined ? undefined : view?.index.findGroup(group)?.engine
     if (engine) return engine.cacheTokens * CACHED_MEMORY_RATIO
-    // A place that is no server is a store.
+    // An id that belongs to no server belongs to a store.
     return Math.max(0, ...(view?.index.table.stores.map(({ cacheTokens }) => cacheTokens) ?? []))
   }
   const blame = createCrashReportBuffer(timers)
@@ -286,11 +286,11 @@
     stop,
     maxProofAgeMs: options.maxProofAgeMs,
   }
-  /** A router that has just started gets its table within a second; its callers wait for that. */
+  /** Waits for the first routing table, which a router that has just started receives within a second. */
   const waitForTable = async ({ id, waitMs = Infinity }: DirectCall) => {
     const startedAt = timers.now()
-    const boundMs = Math.min(options.tableWaitMs ?? DEFAULT_TABLE_WAIT_MS, waitMs)
-    await firstValueFrom(race(feed.changes, timers.after(boundMs)), { defaultValue: undefined })
+    const maxWaitMs = Math.min(options.tableWaitMs ?? DEFAULT_TABLE_WAIT_MS, waitMs)
+    await firstValueFrom(race(feed.changes, timers.after(maxWaitMs)), { defaultValue: undefined })
     logger.info('call.waitedForTable', {
       request: id,
       ms: Math.round(timers.now() - startedAt),
@@ -317,7 +317,7 @@
       const timeoutMs = Math.min(BODY_TIMEOUT_MS, stop.findBodyMs())
       const body = await readBody(request, { maxBytes: maxBodyBytes, timeoutMs })
       if (response.destroyed) return
-      // Not before the body is read: a connection that ends with unread bytes may lose its answer.
+      // Refuse only after the body has been read: closing a connection with unread bytes may lose the response.
       const refusal = stop.findRefusal(plan)
       if (refusal) throw refusal
       await serveCall(parts, plan, body, response)
@@ -373,7 +373,7 @@
     close: async (drainMs) => {
       stop.start(drainMs)
       await waitFor(timers, Math.min(READINESS_GRACE_MS, drainMs))
-      // Timers run before sockets are read: what has arrived meanwhile is not idle.
+      // Timers run before sockets are read; a request that has arrived meanwhile must not count as idle.
       await parts.turns.take()
       server.close()
       server.closeIdleConnections()
--- a/packages/router/src/direct/requestTimings.ts
+++ b/packages/router/src/direct/requestTimings.ts
@@ -1,20 +1,20 @@
-/** The times of one request: when its first part came, and how long the server of its last send took. */
+/** Timings of one request: time to the first response chunk, and the service time of its last attempt. */
 import type { CallPlan } from './callPlan.js'
 import type { DirectParts } from './directParts.js'
 
 /** See {@link createRequestTimings}. */
 export interface RequestTimings {
-  /** Notes a send of the request, with the prompt tokens that its server has to read. */
+  /** Records the start of an attempt and the number of prompt tokens that its server has to prefill. */
   recordAttempt(unreadTokens: number): void
-  /** Notes the first part of the answer; later parts change nothing. */
+  /** Records the first chunk of the response; later calls have no effect. */
   recordFirstPart(): void
-  /** Notes that a plain service answered. */
+  /** Records a complete response; has an effect only for plain services. */
   recordPlainResponse(): void
-  /** Time from the arrival to the first part, in ms; undefined before it. */
+  /** Time from the arrival of the request to the first chunk, in ms; undefined before the first chunk. */
   firstPartMs(): number | undefined
 }
 
-/** Creates the times of a request that was not sent yet. */
+/** Creates the timings of a request that has not been sent yet. */
 export function createRequestTimings(
   { timers, times, instruments }: Pick<DirectParts, 'timers' | 'times' | 'instruments'>,
   { call, group, arrivedAt }: CallPlan,
--- a/packages/router/src/direct/responseHead.ts
+++ b/packages/router/src/direct/responseHead.ts
@@ -1,4 +1,4 @@
-/** What the head of an answer says of a send, before anything of it is passed on. */
+/** Evaluates the head of a backend response before any of the response is forwarded. */
 import type { IncomingMessage } from 'node:http'
 import { recordAnswerSignals } from './answerSignals.js'
 import type { CallPlan } from './callPlan.js'
@@ -6,13 +6,13 @@
 import type { DirectParts } from './directParts.js'
 import type { AttemptOutcome } from './attemptOutcome.js'
 
-/** A head with the instant at which its request was sent, in ms of the monotonic clock. */
+/** A response head and when its request was sent, in ms of the monotonic clock. */
 export interface ReceivedResponse {
   readonly message: IncomingMessage
   readonly sentAt: number
 }
 
-/** Judges a head; undefined where the answer is the server's own and may be passed on. */
+/** Checks a response head; returns undefined if the response is the server's own and may be forwarded. */
 export function checkResponseHead(
   parts: DirectParts,
   { call }: CallPlan,
@@ -30,5 +30,8 @@
   }
   if (head.isGenuine) return undefined
   message.destroy()
-  return { kind: 'lost', reason: `status ${message.statusCode} that is not its own answer` }
+  return {
+    kind: 'lost',
+    reason: `status ${message.statusCode} did not originate from the backend server`,
+  }
 }
--- a/packages/router/src/direct/responseHeadWait.ts
+++ b/packages/router/src/direct/responseHeadWait.ts
@@ -1,8 +1,8 @@
 /**
- * Waiting for the head of an answer. A server without any sign of life is looked at: where it is
- * dead, the request should go to another one. Where it accepts connections, those that stand may have
- * fallen silent for good: the idle ones are closed, and a request to a plain service, which does not
- * take that long, should go to another server as well.
+ * Waits for the head of a response. A server that has sent nothing for a while is probed. If it is dead, the request
+ * should be retried on another server. If it accepts connections, its established connections may be dead all the same:
+ * the idle ones are closed, and a request to a plain service, which does not take this long, should be retried on
+ * another server too.
  */
 import type { KeepAliveAgent, TimerService } from '@spoolgate/core'
 import { firstValueFrom } from 'rxjs'
@@ -17,21 +17,21 @@
   readonly timers: TimerService
   readonly liveness: Liveness
   readonly agent: KeepAliveAgent
-  /** Whether the server may take long to read a prompt before its first sign. */
+  /** Whether the server may still be prefilling a long prompt and have sent nothing for that reason. */
   readonly mayBePrefilling: boolean
-  /** Whether the request still waits and its server has given no sign of life. */
+  /** Whether the request is still in progress and its server has sent nothing. */
   readonly isUnanswered: () => boolean
-  /** Takes a repeated send, if the request may be repeated. */
+  /** Takes one retry from the budget; returns false if the request may not be retried. */
   readonly takeRetry: () => boolean
 }
 
 /**
- * Time without any sign of life after which a server is looked at, in ms: above the longest work of
- * a plain service and the reading of most prompts, below the callers' patience.
+ * Time without any data after which a server is probed, in ms: longer than the slowest response of a plain service and
+ * the prefill of most prompts, shorter than callers are willing to wait.
  */
 const LIVENESS_CHECK_DELAY_MS = 700
 
-/** Waits for the head of an answer; gives the send up where another server should be tried. */
+/** Waits for the response head; abandons the attempt if another server should be tried. */
 export async function waitForResponseHead(
   options: WaitForHeadOptions,
 ): Promise<AttemptResult | AbandonedOutcome> {
@@ -53,11 +53,11 @@
   return result
 }
 
-/** Finds out why a server that gives no sign of life should not be waited for. */
+/** Probes a server that has sent nothing; returns why the attempt should be abandoned, if it should. */
 async function findAbandonReason(options: WaitForHeadOptions): Promise<string | undefined> {
-  const { liveness, agent, server, mayBePrefilling: mayBeReading } = options
+  const { liveness, agent, server, mayBePrefilling } = options
   const isAlive = await liveness.checkAlive(server)
-  if (!isAlive) return 'the backend server accepts no connections'
+  if (!isAlive) return 'the backend server does not accept connections'
   agent.closeIdle(server.address)
-  return mayBeReading ? undefined : 'the connection is silent'
+  return mayBePrefilling ? undefined : 'no data received on the connection'
 }
--- a/packages/router/src/direct/responseRelay.ts
+++ b/packages/router/src/direct/responseRelay.ts
@@ -1,24 +1,24 @@
 /**
- * Passing a backend server's answer on to the caller. Whole answers are collected first, so that a
- * broken one can still become a repeated send or a plain failure; events of a stream go on at once.
+ * Relays the response of a backend server to the caller. A response that is not a stream is buffered first, so that a
+ * truncated one can still be retried or turned into an error response. Events of a stream are forwarded as they arrive.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { HeaderList } from './dialects.js'
 import { createSseEventBuffer, type SseEventBuffer } from './sseEventBuffer.js'
 
-/** How reading an answer's body ended. */
+/** Whether a response body was received completely. */
 export type BodyResult = 'whole' | 'broken'
 
-/** Watches whether an answer that ends with its connection ends in order. */
+/** Detects whether a response body arrived completely. */
 interface CompletionWatch {
   isComplete(): boolean
 }
 
 /**
- * Watches the end of an answer. One that has neither a length nor chunks ends with its connection,
- * and Node takes a reset for such an end: by an error that it swallows, or, where the reset comes
- * together with the last bytes, as an end without any error. Only a socket that was reset has lost
- * the address of its other side by then.
+ * Watches for the end of a response body. A body with neither Content-Length nor chunked encoding ends when its
+ * connection closes, and Node also reports a connection reset as such an end: it swallows the error, or, if the reset
+ * arrives together with the last bytes, raises none. Only a socket that was reset no longer has a remote address when
+ * it emits `end`.
  */
 function watchCompletion(message: IncomingMessage): CompletionWatch {
   const { 'content-length': length, 'transfer-encoding': transferEncoding } = message.headers
@@ -35,7 +35,7 @@
   }
 }
 
-/** Collects a body whole; undefined when it broke off. */
+/** Reads the whole body; returns undefined if it is truncated. */
 export function readResponseBody(message: IncomingMessage): Promise<Buffer | undefined> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = []
@@ -47,7 +47,7 @@
   })
 }
 
-/** Writes a head with fields that may occur more than once. */
+/** Writes the status line and headers; a header field may occur more than once. */
 function writeHead(response: ServerResponse, status: number, headers: HeaderList): void {
   response.writeHead(
     status,
@@ -55,7 +55,7 @@
   )
 }
 
-/** Sends a collected answer. */
+/** Sends a buffered response with the length of its body. */
 export function sendBufferedResponse(
   response: ServerResponse,
   status: number,
@@ -68,30 +68,30 @@
   response.end(body)
 }
 
-/** One caller's stream over all the sends that feed it. */
+/** The response stream of one caller, across all attempts that supply its events. */
 export interface StreamRelay {
-  /** Whether the caller has seen the head. */
+  /** Whether the response head has been sent to the caller. */
   hasBegun(): boolean
-  /** Id of the last whole event that was passed on; undefined before the first. */
+  /** Id of the last complete event that was forwarded; undefined before the first. */
   lastEventId(): string | undefined
-  /** Passes on the events of one answer until it ends or breaks off. */
+  /** Forwards the events of one backend response until it ends or breaks off. */
   relay(message: IncomingMessage, headers: HeaderList): Promise<BodyResult>
-  /** Ends the stream after its last event. */
+  /** Ends the response to the caller. */
   finish(): void
 }
 
 /** Options of {@link createStreamRelay}. */
 export interface StreamRelayOptions {
   readonly response: ServerResponse
-  /** Whether a broken answer may be continued, so that only whole events may be passed on. */
+  /** Whether another attempt may resume a broken stream; if so, only complete events are forwarded. */
   readonly isResumable: boolean
-  /** Called at each part that is passed on. */
+  /** Called for each chunk that is forwarded. */
   readonly onChunk: () => void
 }
 
-/** Creates the relay of a stream that has not begun. */
+/** Creates a relay whose response has not started. */
 export function createStreamRelay(options: StreamRelayOptions): StreamRelay {
-  const { response, isResumable, onChunk: onPart } = options
+  const { response, isResumable, onChunk } = options
   let lastId: string | undefined
   let hasBegun = false
 
@@ -101,7 +101,7 @@
       hasBegun = true
       writeHead(response, message.statusCode ?? 200, headers)
     }
-    onPart()
+    onChunk()
     if (response.write(data)) return
     message.pause()
     response.once('drain', () => message.resume())
@@ -116,18 +116,18 @@
     lastEventId: () => lastId,
     relay: (message, headers) =>
       new Promise((resolve) => {
-        const cutter = createSseEventBuffer()
+        const eventBuffer = createSseEventBuffer()
         const watch = watchCompletion(message)
         message.on('data', (chunk: Buffer) =>
-          forward(message, headers, selectForwardable(cutter, chunk)),
+          forward(message, headers, selectForwardable(eventBuffer, chunk)),
         )
         message.on('end', () => {
-          const isWhole = watch.isComplete() && !cutter.hasPartialEvent()
-          if (isWhole && !hasBegun) {
+          const isComplete = watch.isComplete() && !eventBuffer.hasPartialEvent()
+          if (isComplete && !hasBegun) {
             hasBegun = true
             writeHead(response, message.statusCode ?? 200, headers)
           }
-          resolve(isWhole ? 'whole' : 'broken')
+          resolve(isComplete ? 'whole' : 'broken')
         })
         message.on('error', () => resolve('broken'))
         message.on('close', () => resolve('broken'))
@@ -136,7 +136,10 @@
   }
 }
 
-/** Whether the caller's end of the connection is closed; the response learns of it some turns later. */
+/**
+ * Returns whether the caller has closed its connection. The socket shows this a few turns of the event loop before the
+ * response is destroyed.
+ */
 export function isCallerDisconnected(response: ServerResponse): boolean {
   return response.destroyed || response.socket?.readableEnded === true
 }
--- a/packages/router/src/direct/sendAttempt.ts
+++ b/packages/router/src/direct/sendAttempt.ts
@@ -1,6 +1,6 @@
 /**
- * One send of a request to one backend server. Nothing is written before the connection stands and
- * the last check has passed, so that what was never sent is known for certain.
+ * One attempt to send a request to a backend server. Nothing is written until the connection is established and the
+ * final check has passed, so that a request that was never sent can be told apart with certainty.
  */
 import {
   request as startRequest,
@@ -12,46 +12,46 @@
 import type { TimerService } from '@spoolgate/core'
 import type { HeaderList } from './dialects.js'
 
-/** What is sent where. */
+/** Options of {@link startAttempt}. */
 export interface AttemptOptions {
   readonly agent: Agent
   readonly timers: TimerService
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string
   readonly method: string
   readonly target: string
-  /** Builds the header at the moment of sending; undefined forbids the send. */
+  /** Builds the headers immediately before sending; undefined forbids sending. */
   readonly buildHeaders: () => HeaderList | undefined
   readonly body: Buffer
-  /** Longest wait for a connection, in ms. */
+  /** Timeout for establishing the connection, in ms. */
   readonly connectMs: number
 }
 
-/** What became of a send up to the answer's head. */
+/** Result of an attempt up to the response head. */
 export type AttemptResult =
   | { readonly kind: 'head'; readonly message: IncomingMessage }
-  /** No byte can have reached the server. */
+  /** No byte was sent to the server. */
   | { readonly kind: 'notSent'; readonly reason: string }
-  /** The last check before sending forbade it; no byte was sent. */
+  /** The final check before sending failed; no byte was sent. */
   | { readonly kind: 'forbidden'; readonly reason: string }
   /** The server may have run the request. */
   | { readonly kind: 'lost'; readonly reason: string }
 
-/** A send in progress. */
+/** An attempt in progress. */
 export interface SendAttempt {
   readonly result: Promise<AttemptResult>
-  /** Whether bytes were written. */
+  /** Whether the request has been written to the connection. */
   wasWritten(): boolean
-  /** Has the connection looked at while it is idle: where the other side no longer knows it, it is reset. */
+  /** Enables TCP keep-alive probes, so that a connection that the peer no longer knows is reset while it is idle. */
   enableKeepAliveProbes(): void
-  /** Gives the send up and closes its connection. */
+  /** Cancels the attempt and closes its connection. */
   cancel(): void
 }
 
-/** Time without a byte after which a connection is looked at, in ms; the least that Linux takes. */
+/** Idle time before the first TCP keep-alive probe, in ms; the minimum on Linux. */
 const KEEP_ALIVE_PROBE_DELAY_MS = 1_000
 
-/** Starts a send. */
+/** Starts an attempt. */
 export function startAttempt(options: AttemptOptions): SendAttempt {
   const [host, port] = options.address.split(':')
   let isWritten = false
@@ -59,7 +59,8 @@
   let outgoing: ClientRequest | undefined
 
   const result = new Promise<AttemptResult>((resolve) => {
-    const fail = (reason: string) => resolve({ kind: isWritten ? 'lost' : 'notSent', reason })
+    const resolveFailure = (reason: string) =>
+      resolve({ kind: isWritten ? 'lost' : 'notSent', reason })
     outgoing = startRequest({
       host,
       port: Number(port),
@@ -70,7 +71,7 @@
     })
     const clientRequest = outgoing
     const connectTimer = options.timers.after(options.connectMs).subscribe(() => {
-      fail(`no connection within ${options.connectMs} ms`)
+      resolveFailure(`no connection within ${options.connectMs} ms`)
       clientRequest.destroy()
     })
     const write = () => {
@@ -78,7 +79,10 @@
       if (isCancelled) return
       const headers = options.buildHeaders()
       if (!headers) {
-        resolve({ kind: 'forbidden', reason: 'too late, or control is out of reach' })
+        resolve({
+          kind: 'forbidden',
+          reason: 'deadline passed, caller disconnected or control unreachable',
+        })
         clientRequest.destroy()
         return
       }
@@ -93,9 +97,9 @@
     clientRequest.on('response', (message) => resolve({ kind: 'head', message }))
     clientRequest.on('error', (cause) => {
       connectTimer.unsubscribe()
-      fail(cause.message)
+      resolveFailure(cause.message)
     })
-    clientRequest.on('close', () => fail('the connection closed'))
+    clientRequest.on('close', () => resolveFailure('the connection closed'))
   })
   return {
     result,
@@ -109,7 +113,7 @@
   }
 }
 
-/** Joins fields that occur more than once, as Node's client wants them. */
+/** Merges repeated header fields into arrays, as Node's HTTP client expects. */
 function mergeRepeatedFields(headers: HeaderList): Map<string, string | string[]> {
   const fields = new Map<string, string | string[]>()
   const firstSpellings = new Map<string, string>()
--- a/packages/router/src/direct/sendRecord.ts
+++ b/packages/router/src/direct/sendRecord.ts
@@ -1,11 +1,11 @@
-/** What a router notes of a choice and of a send: for its log, and for later choices of all routers. */
+/** Records server choices and attempts: for the log, the metrics and later choices of all routers. */
 import { formatCallScope, type CallPlan } from './callPlan.js'
 import { recordWork, type Candidate } from './choice.js'
 import type { DirectSend } from './dialects.js'
 import type { DirectParts } from './directParts.js'
 import { buildPlacement } from './partMemory.js'
 
-/** Formats a choice with what decided it, and the server that came second. */
+/** Builds the log fields of a server choice: the figures that decided it and the second-best server. */
 export function formatServerChoice(
   plan: CallPlan,
   best: Candidate,
@@ -27,7 +27,7 @@
   }
 }
 
-/** Builds the fields of a send that follow from the choice. */
+/** Builds the fields of a send that depend on the chosen server. */
 export function buildSendFields(
   { call, team }: CallPlan,
   { server, version, fetchFrom, saveTo }: Candidate,
@@ -43,7 +43,7 @@
   }
 }
 
-/** Records the work that a prompt makes for its engine, and where its parts will be. */
+/** Records the work that a prompt causes on its engine, and where its parts will be cached. */
 export function recordSentPrompt(parts: DirectParts, plan: CallPlan, candidate: Candidate): void {
   const { prompt } = plan.call
   const { server, version, saveTo, matchedTokens } = candidate
--- a/packages/router/src/direct/serveCall.ts
+++ b/packages/router/src/direct/serveCall.ts
@@ -1,7 +1,7 @@
 /**
- * Serving one request on the direct path: choose a backend server, send, and pass the answer on. A
- * request that may have run is sent again only where it may be repeated, or where its stream may be
- * continued; what is refused as not run has not run.
+ * Serves one request on the direct path: chooses a backend server, sends the request and relays the response. A request
+ * that may have run is retried only if its route allows repetition, or if its stream can be resumed. An error that says
+ * that a request was not run is sent only if it was not.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { BackendServerId, RequestFingerprint, SpoolgateError } from '@spoolgate/core'
@@ -37,14 +37,14 @@
 import { watchStall } from './restartDetector.js'
 import type { CallTicket } from './serverBoard.js'
 
-/** Ends of sends that no server began. */
+/** Outcomes of attempts that no server has started to process. */
 const NOT_STARTED_OUTCOMES: ReadonlySet<AttemptOutcome['kind']> = new Set([
   'notSent',
   'forbidden',
   'notRun',
 ])
 
-/** Serves one planned request; resolves once its final answer was given. */
+/** Serves one planned request; resolves once its final response has been sent. */
 export async function serveCall(
   parts: DirectParts,
   plan: CallPlan,
@@ -55,7 +55,7 @@
   await served.run()
 }
 
-/** The state of one request while it is served. */
+/** A request while it is served, across its attempts. */
 class ServedCall implements RequestState {
   private readonly relay: StreamRelay
   readonly sentTo = new Set<BackendServerId>()
@@ -66,14 +66,14 @@
   private timeout: Subscription | undefined
   sends = 0
   private ticket: CallTicket | undefined
-  /** When the last part of the answer came, in ms of the monotonic clock. */
+  /** When the last chunk of the response arrived, in ms of the monotonic clock. */
   private lastChunkAt = -Infinity
-  /** When the last send began, in ms of the monotonic clock. */
+  /** When the last attempt started, in ms of the monotonic clock. */
   private sentAt = -Infinity
   private readonly timings: RequestTimings
   readonly fingerprint: RequestFingerprint
   private resolveFinished: () => void = () => {}
-  /** Records that the send in flight broke off. */
+  /** Records that the connection of the current attempt was lost. */
   private recordConnectionLoss: () => void = () => {}
 
   constructor(
@@ -105,7 +105,7 @@
       const reason = cause instanceof Error ? cause.message : String(cause)
       parts.logger.error('call.internalError', { request: plan.call.id, reason })
       this.finishWithError(
-        createOutcomeUnknownError('an internal fault; report it with the request id'),
+        createOutcomeUnknownError('internal error; report it with the request id'),
       )
     })
     await Promise.race([work, finished])
@@ -119,7 +119,7 @@
     this.timings.recordFirstPart()
   }
 
-  /** Ends all work for a request whose caller is gone or was answered. */
+  /** Completes the request, once its response is sent or its caller has disconnected, and cancels all work for it. */
   private finish(reason: string): void {
     if (this.isFinished) return
     this.isFinished = true
@@ -145,7 +145,7 @@
 
   private handleDeadline(): void {
     if (this.isFinished) return
-    // A crashed server accepts no connections; a slow one does.
+    // The crash detector tells a crashed server from a slow one: a slow one still accepts connections.
     if (this.ticket?.isUnanswered()) this.recordConnectionLoss()
     if (this.relay.hasBegun()) {
       this.finish('timedOutInStream')
@@ -155,7 +155,7 @@
     this.finishWithError(createTimeoutError(this.mayHaveRun))
   }
 
-  /** Gives the final answer of a request that nobody answered. */
+  /** Completes the request with an error response, or cuts the stream off if it has started. */
   private finishWithError(error: SpoolgateError): void {
     if (this.isFinished) return
     this.parts.instruments.refusals.add(1, { kind: error.kind })
@@ -166,8 +166,8 @@
 
   private async runAttempts(): Promise<void> {
     while (!this.isFinished) {
-      // A busy router finds a request and the end of its caller's connection together: looking at the
-      // sockets once more before each send keeps what nobody waits for from the backend servers.
+      // A busy router may read a request and the close of its caller's connection in the same turn of the event loop.
+      // Polling the sockets once more before each attempt keeps requests without a caller off the backend servers.
       await this.parts.turns.take()
       if (isCallerDisconnected(this.response)) this.finish('callerLeft')
       if (this.isFinished) return
@@ -185,22 +185,23 @@
     }
   }
 
-  /** Sends, and records in the quarantine what became of the request. */
+  /** Runs an admitted attempt and records its outcome for the quarantine. */
   private async runAdmittedAttempt({ candidate, round }: AdmittedAttempt): Promise<AttemptOutcome> {
     const { quarantine, exits } = this.parts
     const { server } = candidate
     this.recordConnectionLoss = () => exits.recordLost(server, { request: this.fingerprint, round })
     const end = await this.sendWithStallWatch(candidate)
     const isLost = end.kind === 'lost' || end.kind === 'abandoned'
-    // What this router broke off itself shows nothing.
+    // A connection that this router closed itself says nothing about the server.
     if (isLost && !this.isFinished) this.recordConnectionLoss()
     if (end.kind === 'answered') quarantine.recordAnswered(this.fingerprint)
     return end
   }
 
   /**
-   * A request that servers refused may still be begun elsewhere, rather than here by a router that
-   * may not see its end; what may have run goes on. The first send was judged before.
+   * Returns the error for a request that must not be retried because this router is shutting down. A request that
+   * servers refused can still be sent through another router, which will see it through; one that may have run goes on
+   * here. The first attempt was checked before.
    */
   private findShutdownRefusal(): SpoolgateError | undefined {
     if (this.sends === 0 || this.mayHaveRun) return undefined
@@ -307,7 +308,7 @@
     return relayResponse({ message, headers, response, relay, isFinished: () => this.isFinished })
   }
 
-  /** Draws the consequence of one send; true once the request has its final answer. */
+  /** Handles the outcome of an attempt; returns true once the request has its final response. */
   private async handleOutcome(candidate: Candidate, end: AttemptOutcome): Promise<boolean> {
     this.ticket?.finish(SERVER_OUTCOMES[end.kind])
     if (end.kind !== 'answered') {
@@ -341,7 +342,7 @@
 
   private handleNotRun(candidate: Candidate, end: NotRunOutcome): boolean {
     const { server, version } = candidate
-    // A server that only has newer weights than presumed takes the request under their version.
+    // A server that refused only because its weights are newer than presumed will accept the new version.
     const hasNewerVersion = (end.version ?? 0) > (version ?? Infinity)
     if (!hasNewerVersion) this.excluded.add(server.id)
     if (this.parts.retries.take(this.plan.group.name)) return false
@@ -354,7 +355,7 @@
   private handleFailed(candidate: Candidate, end: FailedOutcome): boolean {
     this.excluded.add(candidate.server.id)
     if (this.takeRetry()) return false
-    // A status that promises "not run" would be false for a request that ran.
+    // The request ran, so a status that says that it was not run must not be forwarded.
     if (NOT_RUN_STATUSES.has(end.status)) {
       this.finishWithError(createOutcomeUnknownError('the backend server failed'))
       return true
@@ -371,14 +372,14 @@
     return true
   }
 
-  /** Whether the kind of the request, and what its caller has got of it, allow that it runs again. */
+  /** Whether the route, and what has been forwarded to the caller, allow the request to run again. */
   private isRetryable(): boolean {
     const { repeatability } = this.plan.route
     if (repeatability === 'once') return false
     return !this.relay.hasBegun() || repeatability === 'resumable'
   }
 
-  /** Whether a request that may have run may be sent to another server now. */
+  /** Takes one retry from the budget if a request that may have run may be sent to another server now. */
   private takeRetry(): boolean {
     const { route, group } = this.plan
     if (!this.isRetryable()) return false
--- a/packages/router/src/direct/serverAvailability.ts
+++ b/packages/router/src/direct/serverAvailability.ts
@@ -1,23 +1,23 @@
-/** Whether a backend server may get a request now: by its backoff, its shutdown and its rate limit. */
+/** Checks whether a backend server may be sent a request now: its backoff, its shutdown and its rate limit. */
 import type { BackendServerId } from '@spoolgate/core'
 import type { Backpressure, SendVerdict } from '@spoolgate/routing'
 import type { LimitVerdict, ServerLimits } from '../limits/serverLimits.js'
 
-/** Parts that judge a server. */
+/** Parts that decide whether a server may be sent a request. */
 export interface AvailabilityParts {
   readonly backpressure: Pick<Backpressure, 'judgeSend'>
   readonly limits: Pick<ServerLimits, 'judgeSend' | 'isLimited' | 'isProbeDue'>
 }
 
-/** What may be sent to a server now. */
+/** Whether a server may be sent a request now, and if not, why. */
 export type ServerAvailability = SendVerdict | LimitVerdict
 
-/** Whether a server that was judged so may get a request. */
+/** Returns whether a server in this state may be sent a request. */
 export function isSendAllowed({ kind }: ServerAvailability): boolean {
   return kind === 'open' || kind === 'trial'
 }
 
-/** Judges a server at an instant of the monotonic clock, in ms. */
+/** Checks the availability of a server at time `now`, in ms of the monotonic clock. */
 export function checkServerAvailability(
   { backpressure, limits }: AvailabilityParts,
   id: BackendServerId,
--- a/packages/router/src/direct/sseEventBuffer.ts
+++ b/packages/router/src/direct/sseEventBuffer.ts
@@ -1,26 +1,26 @@
-/** Cutting a stream of server-sent events into whole events, so that a broken one is never passed on. */
+/** Splits a stream of server-sent events at event boundaries, so that incomplete events are never forwarded. */
 
-/** Collects bytes and hands out what is whole. */
+/** Buffers bytes and returns complete events. */
 export interface SseEventBuffer {
-  /** Adds bytes; returns those up to the end of the last whole event. */
+  /** Adds bytes; returns the buffered bytes up to the end of the last complete event. */
   add(chunk: Buffer): Buffer
-  /** Id of the last whole event that was handed out; undefined before the first. */
+  /** Id of the last complete event that was returned; undefined before the first. */
   lastEventId(): string | undefined
-  /** Whether an event was begun and not ended. */
+  /** Whether the buffer holds the start of an incomplete event. */
   hasPartialEvent(): boolean
 }
 
 const EMPTY = Buffer.alloc(0)
 const EVENT_ID = /^id: ?(.*)$/gm
 
-/** Finds the end of the last whole event. */
+/** Returns the offset after the last complete event; 0 if there is none. */
 function findLastEventEnd(data: Buffer): number {
   const lastLf = data.lastIndexOf('\n\n')
   const lastCrLf = data.lastIndexOf('\r\n\r\n')
   return Math.max(lastLf === -1 ? 0 : lastLf + 2, lastCrLf === -1 ? 0 : lastCrLf + 4)
 }
 
-/** Creates a cutter at the beginning of a stream. */
+/** Creates an empty buffer for the start of a stream. */
 export function createSseEventBuffer(): SseEventBuffer {
   let pending: Buffer = EMPTY
   let lastEventId: string | undefined
