--- a/packages/router/src/__tests__/responseRelay.spec.ts
+++ b/packages/router/src/__tests__/responseRelay.spec.ts
@@ -4,10 +4,10 @@
 import { expect } from 'chai'
 import { readResponseBody } from '../direct/responseRelay.js'
 
-type Script = (socket: Socket, turn: number) => void
+type ConnectionScript = (socket: Socket, turn: number) => void
 
-/** Starts a server that answers the requests on each connection by a script. */
-async function startScripted(script: Script): Promise<Server> {
+/** Starts a server that runs a script for each request on a connection. */
+async function startScriptedServer(script: ConnectionScript): Promise<Server> {
   const server = createServer((socket) => {
     let turn = 0
     socket.on('error', () => {})
@@ -17,14 +17,14 @@
   return server
 }
 
-function ask(server: Server, agent: Agent): Promise<IncomingMessage> {
+function sendGet(server: Server, agent: Agent): Promise<IncomingMessage> {
   const { port } = server.address() as AddressInfo
   return new Promise((resolve, reject) => {
     get({ host: '127.0.0.1', port, agent }, resolve).on('error', reject)
   })
 }
 
-describe('reading the answers of backend servers', () => {
+describe('reading response bodies of backend servers', () => {
   let server: Server
   let agent: Agent
 
@@ -36,54 +36,54 @@
     server.close()
   })
 
-  it('takes an answer without a length as whole when its connection ends', async () => {
-    server = await startScripted((socket) => {
+  it('accepts a response without a length as complete when its connection ends', async () => {
+    server = await startScriptedServer((socket) => {
       socket.end('HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it')
     })
-    const body = await readResponseBody(await ask(server, agent))
+    const body = await readResponseBody(await sendGet(server, agent))
     expect(body?.toString()).to.equal('all of it')
   })
 
-  it('takes an answer without a length as broken when its connection is reset', async () => {
+  it('rejects a response without a length as truncated when its connection is reset', async () => {
     let reset: () => void = () => {}
-    server = await startScripted((socket) => {
+    server = await startScriptedServer((socket) => {
       reset = () => socket.resetAndDestroy()
       socket.write('HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf')
     })
-    const message = await ask(server, agent)
+    const message = await sendGet(server, agent)
     message.once('data', () => setImmediate(reset))
     expect(await readResponseBody(message)).to.equal(undefined)
   })
 
-  it('takes it as broken also when the reset comes together with the last bytes', async () => {
-    server = await startScripted((socket) => {
+  it('rejects it as truncated also when the reset arrives together with the last bytes', async () => {
+    server = await startScriptedServer((socket) => {
       socket.write('HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf', () =>
         setImmediate(() => socket.resetAndDestroy()),
       )
     })
-    expect(await readResponseBody(await ask(server, agent))).to.equal(undefined)
+    expect(await readResponseBody(await sendGet(server, agent))).to.equal(undefined)
   })
 
-  it('takes an answer as broken when bytes are missing', async () => {
-    server = await startScripted((socket) => {
+  it('rejects a response as truncated when bytes are missing', async () => {
+    server = await startScriptedServer((socket) => {
       socket.end('HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf')
     })
-    expect(await readResponseBody(await ask(server, agent))).to.equal(undefined)
+    expect(await readResponseBody(await sendGet(server, agent))).to.equal(undefined)
   })
 
-  it('does not take a surplus answer for the answer to the next request', async () => {
+  it('does not use a surplus response as the response to the next request', async () => {
     const format = (text: string) => `HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n${text}`
     const first: { socket?: Socket; closed?: Promise<unknown> } = {}
-    server = await startScripted((socket) => {
+    server = await startScriptedServer((socket) => {
       first.socket ??= socket
       first.closed ??= new Promise((resolve) => socket.once('close', resolve))
       socket.write(format('right'))
     })
-    await readResponseBody(await ask(server, agent))
+    await readResponseBody(await sendGet(server, agent))
     await new Promise((resolve) => setImmediate(resolve))
     first.socket?.write(format('wrong'))
     await first.closed
-    const body = await readResponseBody(await ask(server, agent))
+    const body = await readResponseBody(await sendGet(server, agent))
     expect(body?.toString()).to.equal('right')
   })
 })
--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -170,9 +170,9 @@
     isRegistered: (id) => feed.current()?.servers.has(id) ?? false,
   })
   const memory = createPartMemory({ findCacheTokens: (holder) => findCacheTokens(holder) })
-  const findCacheTokens = (place: BackendServerId): number => {
+  const findCacheTokens = (holder: BackendServerId): number => {
     const view = feed.current()
-    const group = view?.servers.get(place)?.group
+    const group = view?.servers.get(holder)?.group
     const engine = group === undefined ? undefined : view?.index.findGroup(group)?.engine
     if (engine) return engine.cacheTokens * CACHED_MEMORY_RATIO
     // An id that belongs to no server belongs to a store.
--- a/packages/router/src/direct/responseRelay.ts
+++ b/packages/router/src/direct/responseRelay.ts
@@ -106,7 +106,7 @@
     message.pause()
     response.once('drain', () => message.resume())
   }
-  const selectForwardable = (eventBuffer: SseEventBuffer, chunk: Buffer) => {
+  const takeForwardable = (eventBuffer: SseEventBuffer, chunk: Buffer) => {
     const whole = eventBuffer.add(chunk)
     lastId = eventBuffer.lastEventId() ?? lastId
     return isResumable ? whole : chunk
@@ -119,7 +119,7 @@
         const eventBuffer = createSseEventBuffer()
         const watch = watchCompletion(message)
         message.on('data', (chunk: Buffer) =>
-          forward(message, headers, selectForwardable(eventBuffer, chunk)),
+          forward(message, headers, takeForwardable(eventBuffer, chunk)),
         )
         message.on('end', () => {
           const isComplete = watch.isComplete() && !eventBuffer.hasPartialEvent()
--- a/packages/router/src/direct/serveCall.ts
+++ b/packages/router/src/direct/serveCall.ts
@@ -51,8 +51,8 @@
   body: Buffer,
   response: ServerResponse,
 ): Promise<void> {
-  const served = new ServedCall(parts, plan, body, response)
-  await served.run()
+  const servedCall = new ServedCall(parts, plan, body, response)
+  await servedCall.run()
 }
 
 /** A request while it is served, across its attempts. */
