--- a/packages/router/src/direct/attemptAdmission.ts
+++ b/packages/router/src/direct/attemptAdmission.ts
@@ -1,14 +1,14 @@
 /** Admits one attempt to send a request: checks the team's quota, the quarantine and the available servers. */
 import type { RequestFingerprint, SpoolgateError } from '@spoolgate/core'
 import type { CallPlan } from './callPlan.js'
-import type { Candidate } from './choice.js'
-import type { DirectParts } from './directParts.js'
+import type { Candidate } from './serverRanking.js'
+import type { DirectContext } from './directContext.js'
 import { takeQuota } from './sendQuota.js'
 import { createQuarantineError, createUnavailableError } from './errorResponses.js'
-import { chooseSend, type SendsSoFar } from './sendChoice.js'
+import { chooseServer, type SendHistory } from './serverSelection.js'
 
 /** Progress of a request across its attempts. */
-export interface RequestState extends SendsSoFar {
+export interface RequestState extends SendHistory {
   readonly fingerprint: RequestFingerprint
   /** Whether a server may have executed the request. */
   readonly mayHaveRun: boolean
@@ -32,7 +32,7 @@
 
 /** Admits the next attempt of a request, or returns the error to answer it with. */
 export async function admitAttempt(
-  parts: DirectParts,
+  parts: DirectContext,
   plan: CallPlan,
   state: RequestState,
   log: (event: string, fields: Record<string, unknown>) => void,
@@ -50,15 +50,15 @@
   }
   const quarantineDecision = parts.quarantine.admit(state.fingerprint)
   if (quarantineDecision.kind === 'refused') {
-    quotaDecision.giveBack()
+    quotaDecision.refund()
     log('call.quarantined', { round: quarantineDecision.round, leftMs: quarantineDecision.leftMs })
     return refuse(createQuarantineError(quarantineDecision.leftMs))
   }
   const release = () => {
-    quotaDecision.giveBack()
-    quarantineDecision.giveBack()
+    quotaDecision.refund()
+    quarantineDecision.returnTrial()
   }
-  const choice = chooseSend(parts, plan, state, log)
+  const choice = chooseServer(parts, plan, state, log)
   if (choice.kind === 'server') {
     return {
       kind: 'admitted',
--- a/packages/router/src/direct/attemptOutcome.ts
+++ b/packages/router/src/direct/attemptOutcome.ts
@@ -1,8 +1,8 @@
 /** Outcomes of one attempt at a backend server, and the relay of its response up to that outcome. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { readResponseBody, sendBufferedResponse, type StreamRelay } from './responseRelay.js'
-import type { HeaderList, BackoffSignal } from './dialects.js'
-import type { CallOutcome } from './serverBoard.js'
+import type { HeaderList, BackoffSignal } from './protocols.js'
+import type { CallOutcome } from './serverStats.js'
 
 /** The attempt was abandoned because its server seems to be dead; the request may have run. */
 export interface AbandonedOutcome {
--- a/packages/router/src/direct/directParts.ts
+++ b/packages/router/src/direct/directContext.ts
@@ -11,19 +11,19 @@
   TurnQueue,
 } from '@spoolgate/core'
 import type { Backpressure } from '@spoolgate/routing'
-import type { BackendDialect, CallerDialect } from './dialects.js'
+import type { BackendProtocol, CallerProtocol } from './protocols.js'
 import type { QuotaAdmission } from '../limits/quotaAdmission.js'
 import type { ServerLimits } from '../limits/serverLimits.js'
-import type { Liveness } from './liveness.js'
-import type { PartMemory } from './partMemory.js'
+import type { LivenessMonitor } from './livenessMonitor.js'
+import type { PrefixCacheIndex } from './prefixCacheIndex.js'
 import type { GracefulShutdown } from './gracefulShutdown.js'
-import type { RetryShare } from './retryShare.js'
+import type { RetryBudget } from './retryBudget.js'
 import type { RequestQuarantine } from './requestQuarantine.js'
 import type { CrashDetector } from './crashDetector.js'
 import type { RestartDetector } from './restartDetector.js'
-import type { ServerBoard } from './serverBoard.js'
-import type { WorkSplit } from './workSplit.js'
-import type { WorkTimes } from './workTimes.js'
+import type { ServerStats } from './serverStats.js'
+import type { EnginePartition } from './enginePartition.js'
+import type { ServiceTimes } from './serviceTimes.js'
 
 /** Instruments of a direct router. */
 export interface DirectInstruments {
@@ -38,24 +38,24 @@
 }
 
 /** Parts shared by all requests of a direct router. */
-export interface DirectParts {
+export interface DirectContext {
   readonly instance: string
   readonly hall: string
   readonly feed: FeedFollower
-  readonly caller: CallerDialect
-  readonly backend: BackendDialect
+  readonly caller: CallerProtocol
+  readonly backend: BackendProtocol
   readonly agent: KeepAliveAgent
-  readonly board: ServerBoard
+  readonly serverStats: ServerStats
   readonly backpressure: Backpressure
   readonly limits: ServerLimits
   readonly quotas: QuotaAdmission
-  readonly liveness: Liveness
-  readonly memory: PartMemory
-  readonly split: WorkSplit
-  readonly times: WorkTimes
-  readonly retries: RetryShare
-  readonly restarts: Pick<RestartDetector, 'watch'>
-  readonly exits: Pick<CrashDetector, 'recordLost'>
+  readonly liveness: LivenessMonitor
+  readonly prefixCache: PrefixCacheIndex
+  readonly enginePartition: EnginePartition
+  readonly serviceTimes: ServiceTimes
+  readonly retryBudget: RetryBudget
+  readonly restartDetector: Pick<RestartDetector, 'watch'>
+  readonly crashDetector: Pick<CrashDetector, 'recordInterrupted'>
   readonly quarantine: Pick<RequestQuarantine, 'admit' | 'recordAnswered'>
   readonly timers: TimerService
   /** Turns in which requests are sent. */
@@ -64,7 +64,7 @@
   readonly logger: Logger
   readonly rejectedInputs: Pick<RejectedInputs, 'record'>
   readonly instruments: DirectInstruments
-  readonly stop: Pick<GracefulShutdown, 'findRefusal'>
+  readonly shutdown: Pick<GracefulShutdown, 'findRefusal'>
   /** Age of the proof of the newest table beyond which keys are not trusted, in ms. */
   readonly maxProofAgeMs: number
 }
--- a/packages/router/src/direct/requestTimings.ts
+++ b/packages/router/src/direct/requestTimings.ts
@@ -1,6 +1,6 @@
 /** Timings of one request: time to the first response chunk, and the service time of its last attempt. */
 import type { CallPlan } from './callPlan.js'
-import type { DirectParts } from './directParts.js'
+import type { DirectContext } from './directContext.js'
 
 /** See {@link createRequestTimings}. */
 export interface RequestTimings {
@@ -16,7 +16,11 @@
 
 /** Creates the timings of a request that has not been sent yet. */
 export function createRequestTimings(
-  { timers, times, instruments }: Pick<DirectParts, 'timers' | 'times' | 'instruments'>,
+  {
+    timers,
+    serviceTimes,
+    instruments,
+  }: Pick<DirectContext, 'timers' | 'serviceTimes' | 'instruments'>,
   { call, group, arrivedAt }: CallPlan,
 ): RequestTimings {
   let lastAttempt: { readonly at: number; readonly unreadTokens: number } | undefined
@@ -25,8 +29,8 @@
   const recordDuration = () => {
     if (!lastAttempt) return
     const durationMs = timers.now() - lastAttempt.at
-    if (call.prompt) times.recordRead(group.name, lastAttempt.unreadTokens, durationMs)
-    else times.recordPlain(group.name, durationMs)
+    if (call.prompt) serviceTimes.recordPrefill(group.name, lastAttempt.unreadTokens, durationMs)
+    else serviceTimes.recordPlainRequest(group.name, durationMs)
   }
   return {
     recordAttempt: (unreadTokens) => {
--- a/packages/router/src/direct/responseHead.ts
+++ b/packages/router/src/direct/responseHead.ts
@@ -1,9 +1,9 @@
 /** Evaluates the head of a backend response before any of the response is forwarded. */
 import type { IncomingMessage } from 'node:http'
-import { recordAnswerSignals } from './answerSignals.js'
+import { recordResponseSignals } from './responseSignals.js'
 import type { CallPlan } from './callPlan.js'
-import type { Candidate } from './choice.js'
-import type { DirectParts } from './directParts.js'
+import type { Candidate } from './serverRanking.js'
+import type { DirectContext } from './directContext.js'
 import type { AttemptOutcome } from './attemptOutcome.js'
 
 /** A response head and when its request was sent, in ms of the monotonic clock. */
@@ -14,21 +14,21 @@
 
 /** Checks a response head; returns undefined if the response is the server's own and may be forwarded. */
 export function checkResponseHead(
-  parts: DirectParts,
+  parts: DirectContext,
   { call }: CallPlan,
   { server }: Candidate,
   { message, sentAt }: ReceivedResponse,
 ): AttemptOutcome | undefined {
-  const { backend, board } = parts
+  const { backend, serverStats: board } = parts
   const head = backend.decodeHead(message, call)
-  recordAnswerSignals(parts, call, server, { ...head, sentAt })
+  recordResponseSignals(parts, call, server, { ...head, sentAt })
   if (head.weightsVersion !== undefined) board.recordVersion(server.id, head.weightsVersion)
-  if (head.isNotRun) {
+  if (head.isNotExecuted) {
     message.resume()
     const reason = head.isOtherServer ? 'otherServer' : `status${message.statusCode}`
     return { kind: 'notRun', reason, version: head.weightsVersion, backoff: head.backoff }
   }
-  if (head.isGenuine) return undefined
+  if (head.isAuthentic) return undefined
   message.destroy()
   return {
     kind: 'lost',
--- a/packages/router/src/direct/responseHeadWait.ts
+++ b/packages/router/src/direct/responseHeadWait.ts
@@ -6,7 +6,7 @@
  */
 import type { KeepAliveAgent, TimerService } from '@spoolgate/core'
 import { firstValueFrom } from 'rxjs'
-import type { Liveness, ProbedServer } from './liveness.js'
+import type { LivenessMonitor, ProbedServer } from './livenessMonitor.js'
 import type { AbandonedOutcome } from './attemptOutcome.js'
 import type { SendAttempt, AttemptResult } from './sendAttempt.js'
 
@@ -15,7 +15,7 @@
   readonly send: SendAttempt
   readonly server: ProbedServer
   readonly timers: TimerService
-  readonly liveness: Liveness
+  readonly liveness: LivenessMonitor
   readonly agent: KeepAliveAgent
   /** Whether the server may still be prefilling a long prompt and have sent nothing for that reason. */
   readonly mayBePrefilling: boolean
@@ -56,7 +56,7 @@
 /** Probes a server that has sent nothing; returns why the attempt should be abandoned, if it should. */
 async function findAbandonReason(options: WaitForHeadOptions): Promise<string | undefined> {
   const { liveness, agent, server, mayBePrefilling } = options
-  const isAlive = await liveness.checkAlive(server)
+  const isAlive = await liveness.checkReachable(server)
   if (!isAlive) return 'the backend server does not accept connections'
   agent.closeIdle(server.address)
   return mayBePrefilling ? undefined : 'no data received on the connection'
--- a/packages/router/src/direct/responseRelay.ts
+++ b/packages/router/src/direct/responseRelay.ts
@@ -3,7 +3,7 @@
  * truncated one can still be retried or turned into an error response. Events of a stream are forwarded as they arrive.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
-import type { HeaderList } from './dialects.js'
+import type { HeaderList } from './protocols.js'
 import { createSseEventBuffer, type SseEventBuffer } from './sseEventBuffer.js'
 
 /** Whether a response body was received completely. */
--- a/packages/router/src/direct/sendAttempt.ts
+++ b/packages/router/src/direct/sendAttempt.ts
@@ -1,6 +1,6 @@
 /**
  * One attempt to send a request to a backend server. Nothing is written until the connection is established and the
- * final check has passed, so that a request that was never sent can be told apart with certainty.
+ * final check has passed, so that the router knows for certain when nothing was sent.
  */
 import {
   request as startRequest,
@@ -10,7 +10,7 @@
 } from 'node:http'
 import type { Socket } from 'node:net'
 import type { TimerService } from '@spoolgate/core'
-import type { HeaderList } from './dialects.js'
+import type { HeaderList } from './protocols.js'
 
 /** Options of {@link startAttempt}. */
 export interface AttemptOptions {
--- a/packages/router/src/direct/serveCall.ts
+++ b/packages/router/src/direct/serveCall.ts
@@ -9,12 +9,12 @@
 import { checkResponseHead } from './responseHead.js'
 import { createStreamRelay, isCallerDisconnected, type StreamRelay } from './responseRelay.js'
 import { createRequestTimings, type RequestTimings } from './requestTimings.js'
-import { isProofFresh, rankSend, type CallPlan } from './callPlan.js'
-import type { Candidate } from './choice.js'
-import type { HeaderList } from './dialects.js'
-import type { DirectParts } from './directParts.js'
+import { isProofFresh, resolveSendPriority, type CallPlan } from './callPlan.js'
+import type { Candidate } from './serverRanking.js'
+import type { HeaderList } from './protocols.js'
+import type { DirectContext } from './directContext.js'
 import { waitForResponseHead } from './responseHeadWait.js'
-import { CONNECT_MS } from './liveness.js'
+import { CONNECT_TIMEOUT_MS } from './livenessMonitor.js'
 import { listRefusalFields } from './gracefulShutdown.js'
 import {
   createUnavailableError,
@@ -31,11 +31,11 @@
 } from './attemptOutcome.js'
 import { hashRequest } from './requestFingerprint.js'
 import { admitAttempt, type AdmittedAttempt, type RequestState } from './attemptAdmission.js'
-import { findReturnSeconds } from './sendChoice.js'
+import { findGroupRetryAfterSeconds } from './serverSelection.js'
 import { buildSendFields, recordSentPrompt } from './sendRecord.js'
 import { startAttempt, type SendAttempt } from './sendAttempt.js'
 import { watchStall } from './restartDetector.js'
-import type { CallTicket } from './serverBoard.js'
+import type { TrackedCall } from './serverStats.js'
 
 /** Outcomes of attempts that no server has started to process. */
 const NOT_STARTED_OUTCOMES: ReadonlySet<AttemptOutcome['kind']> = new Set([
@@ -46,7 +46,7 @@
 
 /** Serves one planned request; resolves once its final response has been sent. */
 export async function serveCall(
-  parts: DirectParts,
+  parts: DirectContext,
   plan: CallPlan,
   body: Buffer,
   response: ServerResponse,
@@ -65,7 +65,7 @@
   private currentAttempt: SendAttempt | undefined
   private timeout: Subscription | undefined
   sends = 0
-  private ticket: CallTicket | undefined
+  private ticket: TrackedCall | undefined
   /** When the last chunk of the response arrived, in ms of the monotonic clock. */
   private lastChunkAt = -Infinity
   /** When the last attempt started, in ms of the monotonic clock. */
@@ -77,7 +77,7 @@
   private recordConnectionLoss: () => void = () => {}
 
   constructor(
-    private readonly parts: DirectParts,
+    private readonly parts: DirectContext,
     private readonly plan: CallPlan,
     private readonly body: Buffer,
     private readonly response: ServerResponse,
@@ -113,8 +113,8 @@
   }
 
   private recordChunk(): void {
-    this.ticket?.recordFirstPart()
-    this.ticket?.recordSign()
+    this.ticket?.recordFirstChunk()
+    this.ticket?.recordActivity()
     this.lastChunkAt = this.parts.timers.now()
     this.timings.recordFirstPart()
   }
@@ -146,7 +146,7 @@
   private handleDeadline(): void {
     if (this.isFinished) return
     // The crash detector tells a crashed server from a slow one: a slow one still accepts connections.
-    if (this.ticket?.isUnanswered()) this.recordConnectionLoss()
+    if (this.ticket?.hasNoServerActivity()) this.recordConnectionLoss()
     if (this.relay.hasBegun()) {
       this.finish('timedOutInStream')
       this.response.destroy()
@@ -187,9 +187,10 @@
 
   /** Runs an admitted attempt and records its outcome for the quarantine. */
   private async runAdmittedAttempt({ candidate, round }: AdmittedAttempt): Promise<AttemptOutcome> {
-    const { quarantine, exits } = this.parts
+    const { quarantine, crashDetector: exits } = this.parts
     const { server } = candidate
-    this.recordConnectionLoss = () => exits.recordLost(server, { request: this.fingerprint, round })
+    this.recordConnectionLoss = () =>
+      exits.recordInterrupted(server, { request: this.fingerprint, round })
     const end = await this.sendWithStallWatch(candidate)
     const isLost = end.kind === 'lost' || end.kind === 'abandoned'
     // A connection that this router closed itself says nothing about the server.
@@ -205,7 +206,7 @@
    */
   private findShutdownRefusal(): SpoolgateError | undefined {
     if (this.sends === 0 || this.mayHaveRun) return undefined
-    const refusal = this.parts.stop.findRefusal(this.plan)
+    const refusal = this.parts.shutdown.findRefusal(this.plan)
     if (refusal) this.log('call.notSentAgain', listRefusalFields(refusal))
     return refusal
   }
@@ -229,18 +230,18 @@
   private rankAttempt({ expectedMs }: Candidate): number {
     const { plan, parts, relay } = this
     if (relay.hasBegun()) return plan.priority
-    return rankSend(plan, parts.timers.now() - plan.arrivedAt + expectedMs)
+    return resolveSendPriority(plan, parts.timers.now() - plan.arrivedAt + expectedMs)
   }
 
   private recordAttempt(candidate: Candidate): void {
     const { parts, plan } = this
-    const { server, unreadTokens } = candidate
-    this.ticket = parts.board.open(server.id, unreadTokens)
+    const { server, uncachedTokens: unreadTokens } = candidate
+    this.ticket = parts.serverStats.startCall(server.id, unreadTokens)
     this.sentAt = parts.timers.now()
     parts.backpressure.recordSend(server.id, this.sentAt)
     parts.limits.recordSend(server.id, this.sentAt)
     this.timings.recordAttempt(unreadTokens)
-    if (this.sends === 0) parts.retries.recordFirst(plan.group.name)
+    if (this.sends === 0) parts.retryBudget.recordFirstSend(plan.group.name)
     this.sends += 1
     parts.instruments.sends.add(1, { group: plan.group.name })
     recordSentPrompt(parts, plan, candidate)
@@ -248,15 +249,15 @@
 
   private async sendWithStallWatch(candidate: Candidate): Promise<AttemptOutcome> {
     const stallWatch = watchStall({
-      restarts: this.parts.restarts,
+      restarts: this.parts.restartDetector,
       timers: this.parts.timers,
       server: candidate.server.id,
-      lastSignAt: () => this.lastChunkAt,
+      lastDataAt: () => this.lastChunkAt,
       onRestart: () => {
         this.log('call.serverRestarted', { server: candidate.server.id })
         this.currentAttempt?.enableKeepAliveProbes()
       },
-      onSilent: () => {
+      onStall: () => {
         if (!this.isFinished && this.isRetryable()) this.currentAttempt?.cancel()
       },
     })
@@ -279,7 +280,7 @@
       target: plan.call.target,
       buildHeaders: () => this.buildHeaders(candidate),
       body: this.body,
-      connectMs: CONNECT_MS,
+      connectMs: CONNECT_TIMEOUT_MS,
     })
     this.currentAttempt = send
     const result = await waitForResponseHead({
@@ -289,14 +290,14 @@
       liveness: parts.liveness,
       agent: parts.agent,
       mayBePrefilling: plan.call.prompt !== undefined,
-      isUnanswered: () => !this.isFinished && this.ticket?.isUnanswered() === true,
+      isUnanswered: () => !this.isFinished && this.ticket?.hasNoServerActivity() === true,
       takeRetry: () => this.takeRetry(),
     })
     if (result.kind === 'notSent' || result.kind === 'forbidden')
       this.mayHaveRun = previousMayHaveRun
     if (result.kind !== 'head') return result
     const { message } = result
-    this.ticket?.recordSign()
+    this.ticket?.recordActivity()
     const end = checkResponseHead(parts, plan, candidate, { message, sentAt: this.sentAt })
     if (end?.kind === 'notRun') this.mayHaveRun = previousMayHaveRun
     return end ?? this.relayToCaller(message)
@@ -322,7 +323,7 @@
         this.finish('answered')
         return true
       case 'notSent':
-        this.parts.liveness.recordDead(candidate.server)
+        this.parts.liveness.recordUnreachable(candidate.server)
         this.excluded.add(candidate.server.id)
         return false
       case 'abandoned':
@@ -345,9 +346,9 @@
     // A server that refused only because its weights are newer than presumed will accept the new version.
     const hasNewerVersion = (end.version ?? 0) > (version ?? Infinity)
     if (!hasNewerVersion) this.excluded.add(server.id)
-    if (this.parts.retries.take(this.plan.group.name)) return false
+    if (this.parts.retryBudget.takeRetry(this.plan.group.name)) return false
     this.finishWithError(
-      createUnavailableError(this.mayHaveRun, findReturnSeconds(this.parts, this.plan)),
+      createUnavailableError(this.mayHaveRun, findGroupRetryAfterSeconds(this.parts, this.plan)),
     )
     return true
   }
@@ -384,6 +385,6 @@
     const { route, group } = this.plan
     if (!this.isRetryable()) return false
     if (this.sentTo.size >= route.maxServers) return false
-    return this.parts.retries.take(group.name)
+    return this.parts.retryBudget.takeRetry(group.name)
   }
 }
