--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -159,7 +159,7 @@
   const metrics = createMetrics('router')
   const client = createHttpClient()
   const random = createRandomSource(options.seed ?? Date.now() % 2 ** 31)
-  const board = createServerStats(timers)
+  const serverStats = createServerStats(timers)
   const backpressure = createBackpressure()
   const limits = createServerLimits()
   const rejectedInputs = createRejectedInputs({ logger, timers })
@@ -169,7 +169,9 @@
     probe: checkConnection,
     isRegistered: (id) => feed.current()?.servers.has(id) ?? false,
   })
-  const memory = createPrefixCacheIndex({ findCacheTokens: (holder) => findCacheTokens(holder) })
+  const prefixCache = createPrefixCacheIndex({
+    findCacheTokens: (holder) => findCacheTokens(holder),
+  })
   const findCacheTokens = (holder: BackendServerId): number => {
     const view = feed.current()
     const group = view?.servers.get(holder)?.group
@@ -201,8 +203,9 @@
     random,
     logger,
     decodeTable: options.decodeTable,
-    listLoads: () => addBackoffs(board.listLoads(), backpressure.listBackingOff(timers.now())),
-    takePlacements: memory.takePlacements,
+    listLoads: () =>
+      addBackoffs(serverStats.listLoads(), backpressure.listBackingOff(timers.now())),
+    takePlacements: prefixCache.takePlacements,
     blame: crashReports,
     limits: {
       listUnreported: (term) => limits.listUnreported(term, timers.now()),
@@ -219,10 +222,10 @@
     onSuspects: quarantine.applySuspects,
     onTrial: quarantine.grantTrial,
     onPlacements: (placements) => {
-      for (const placement of placements) memory.recordPlacement(placement)
+      for (const placement of placements) prefixCache.recordPlacement(placement)
     },
     onKept: (placements) => {
-      for (const placement of placements) memory.confirmPlacement(placement)
+      for (const placement of placements) prefixCache.confirmPlacement(placement)
     },
   })
   const instruments = createInstruments(metrics)
@@ -261,12 +264,12 @@
     caller,
     backend: options.backend,
     agent,
-    serverStats: board,
+    serverStats,
     backpressure,
     limits,
     quotas,
     liveness,
-    prefixCache: memory,
+    prefixCache,
     enginePartition: createEnginePartition(timers),
     serviceTimes: createServiceTimes(),
     retryBudget: createRetryBudget({
--- a/packages/router/src/direct/responseHead.ts
+++ b/packages/router/src/direct/responseHead.ts
@@ -19,10 +19,10 @@
   { server }: Candidate,
   { message, sentAt }: ReceivedResponse,
 ): AttemptOutcome | undefined {
-  const { backend, serverStats: board } = parts
+  const { backend, serverStats } = parts
   const head = backend.decodeHead(message, call)
   recordResponseSignals(parts, call, server, { ...head, sentAt })
-  if (head.weightsVersion !== undefined) board.recordVersion(server.id, head.weightsVersion)
+  if (head.weightsVersion !== undefined) serverStats.recordVersion(server.id, head.weightsVersion)
   if (head.isNotExecuted) {
     message.resume()
     const reason = head.isOtherServer ? 'otherServer' : `status${message.statusCode}`
--- a/packages/router/src/direct/serveCall.ts
+++ b/packages/router/src/direct/serveCall.ts
@@ -65,7 +65,7 @@
   private currentAttempt: SendAttempt | undefined
   private timeout: Subscription | undefined
   sends = 0
-  private ticket: TrackedCall | undefined
+  private trackedCall: TrackedCall | undefined
   /** When the last chunk of the response arrived, in ms of the monotonic clock. */
   private lastChunkAt = -Infinity
   /** When the last attempt started, in ms of the monotonic clock. */
@@ -113,8 +113,8 @@
   }
 
   private recordChunk(): void {
-    this.ticket?.recordFirstChunk()
-    this.ticket?.recordActivity()
+    this.trackedCall?.recordFirstChunk()
+    this.trackedCall?.recordActivity()
     this.lastChunkAt = this.parts.timers.now()
     this.timings.recordFirstPart()
   }
@@ -124,7 +124,7 @@
     if (this.isFinished) return
     this.isFinished = true
     this.currentAttempt?.cancel()
-    this.ticket?.finish('none')
+    this.trackedCall?.finish('none')
     this.log('call.end', { outcome: reason, firstPartMs: this.timings.firstPartMs() })
     this.resolveFinished()
   }
@@ -146,7 +146,7 @@
   private handleDeadline(): void {
     if (this.isFinished) return
     // The crash detector tells a crashed server from a slow one: a slow one still accepts connections.
-    if (this.ticket?.hasNoServerActivity()) this.recordConnectionLoss()
+    if (this.trackedCall?.hasNoServerActivity()) this.recordConnectionLoss()
     if (this.relay.hasBegun()) {
       this.finish('timedOutInStream')
       this.response.destroy()
@@ -178,25 +178,25 @@
       )
       if (admission.kind === 'refused') return this.finishWithError(admission.error)
       if (this.isFinished) return admission.release()
-      const end = await this.runAdmittedAttempt(admission)
-      if (NOT_STARTED_OUTCOMES.has(end.kind)) admission.release()
+      const outcome = await this.runAdmittedAttempt(admission)
+      if (NOT_STARTED_OUTCOMES.has(outcome.kind)) admission.release()
       if (this.isFinished) return
-      if (await this.handleOutcome(admission.candidate, end)) return
+      if (await this.handleOutcome(admission.candidate, outcome)) return
     }
   }
 
   /** Runs an admitted attempt and records its outcome for the quarantine. */
   private async runAdmittedAttempt({ candidate, round }: AdmittedAttempt): Promise<AttemptOutcome> {
-    const { quarantine, crashDetector: exits } = this.parts
+    const { quarantine, crashDetector } = this.parts
     const { server } = candidate
     this.recordConnectionLoss = () =>
-      exits.recordInterrupted(server, { request: this.fingerprint, round })
-    const end = await this.sendWithStallWatch(candidate)
-    const isLost = end.kind === 'lost' || end.kind === 'abandoned'
+      crashDetector.recordInterrupted(server, { request: this.fingerprint, round })
+    const outcome = await this.sendWithStallWatch(candidate)
+    const isConnectionLost = outcome.kind === 'lost' || outcome.kind === 'abandoned'
     // A connection that this router closed itself says nothing about the server.
-    if (isLost && !this.isFinished) this.recordConnectionLoss()
-    if (end.kind === 'answered') quarantine.recordAnswered(this.fingerprint)
-    return end
+    if (isConnectionLost && !this.isFinished) this.recordConnectionLoss()
+    if (outcome.kind === 'answered') quarantine.recordAnswered(this.fingerprint)
+    return outcome
   }
 
   /**
@@ -236,7 +236,7 @@
   private recordAttempt(candidate: Candidate): void {
     const { parts, plan } = this
     const { server, uncachedTokens: unreadTokens } = candidate
-    this.ticket = parts.serverStats.startCall(server.id, unreadTokens)
+    this.trackedCall = parts.serverStats.startCall(server.id, unreadTokens)
     this.sentAt = parts.timers.now()
     parts.backpressure.recordSend(server.id, this.sentAt)
     parts.limits.recordSend(server.id, this.sentAt)
@@ -290,17 +290,17 @@
       liveness: parts.liveness,
       agent: parts.agent,
       mayBePrefilling: plan.call.prompt !== undefined,
-      isUnanswered: () => !this.isFinished && this.ticket?.hasNoServerActivity() === true,
+      isUnanswered: () => !this.isFinished && this.trackedCall?.hasNoServerActivity() === true,
       takeRetry: () => this.takeRetry(),
     })
     if (result.kind === 'notSent' || result.kind === 'forbidden')
       this.mayHaveRun = previousMayHaveRun
     if (result.kind !== 'head') return result
     const { message } = result
-    this.ticket?.recordActivity()
-    const end = checkResponseHead(parts, plan, candidate, { message, sentAt: this.sentAt })
-    if (end?.kind === 'notRun') this.mayHaveRun = previousMayHaveRun
-    return end ?? this.relayToCaller(message)
+    this.trackedCall?.recordActivity()
+    const outcome = checkResponseHead(parts, plan, candidate, { message, sentAt: this.sentAt })
+    if (outcome?.kind === 'notRun') this.mayHaveRun = previousMayHaveRun
+    return outcome ?? this.relayToCaller(message)
   }
 
   private relayToCaller(message: IncomingMessage): Promise<AttemptOutcome> {
@@ -310,14 +310,14 @@
   }
 
   /** Handles the outcome of an attempt; returns true once the request has its final response. */
-  private async handleOutcome(candidate: Candidate, end: AttemptOutcome): Promise<boolean> {
-    this.ticket?.finish(SERVER_OUTCOMES[end.kind])
-    if (end.kind !== 'answered') {
-      const { kind, reason } = end
-      const backoff = kind === 'notRun' ? end.backoff : undefined
+  private async handleOutcome(candidate: Candidate, outcome: AttemptOutcome): Promise<boolean> {
+    this.trackedCall?.finish(SERVER_OUTCOMES[outcome.kind])
+    if (outcome.kind !== 'answered') {
+      const { kind, reason } = outcome
+      const backoff = kind === 'notRun' ? outcome.backoff : undefined
       this.log('call.sendEnded', { server: candidate.server.id, end: kind, reason, backoff })
     }
-    switch (end.kind) {
+    switch (outcome.kind) {
       case 'answered':
         this.timings.recordPlainResponse()
         this.finish('answered')
@@ -333,18 +333,18 @@
         this.finishWithError(createUnavailableError(this.mayHaveRun))
         return true
       case 'notRun':
-        return this.handleNotRun(candidate, end)
+        return this.handleNotRun(candidate, outcome)
       case 'failed':
-        return this.handleFailed(candidate, end)
+        return this.handleFailed(candidate, outcome)
       case 'lost':
-        return this.handleLost(candidate, end.reason)
+        return this.handleLost(candidate, outcome.reason)
     }
   }
 
-  private handleNotRun(candidate: Candidate, end: NotRunOutcome): boolean {
+  private handleNotRun(candidate: Candidate, outcome: NotRunOutcome): boolean {
     const { server, version } = candidate
     // A server that refused only because its weights are newer than presumed will accept the new version.
-    const hasNewerVersion = (end.version ?? 0) > (version ?? Infinity)
+    const hasNewerVersion = (outcome.version ?? 0) > (version ?? Infinity)
     if (!hasNewerVersion) this.excluded.add(server.id)
     if (this.parts.retryBudget.takeRetry(this.plan.group.name)) return false
     this.finishWithError(
@@ -353,16 +353,16 @@
     return true
   }
 
-  private handleFailed(candidate: Candidate, end: FailedOutcome): boolean {
+  private handleFailed(candidate: Candidate, outcome: FailedOutcome): boolean {
     this.excluded.add(candidate.server.id)
     if (this.takeRetry()) return false
     // The request ran, so a status that says that it was not run must not be forwarded.
-    if (NOT_RUN_STATUSES.has(end.status)) {
+    if (NOT_RUN_STATUSES.has(outcome.status)) {
       this.finishWithError(createOutcomeUnknownError('the backend server failed'))
       return true
     }
-    this.finish(`status${end.status}`)
-    end.forward()
+    this.finish(`status${outcome.status}`)
+    outcome.forward()
     return true
   }
 
