--- a/packages/control/src/registry/rateLimitAllocator.ts
+++ b/packages/control/src/registry/rateLimitAllocator.ts
@@ -1,6 +1,7 @@
 /**
- * Divides the rate limits that servers name among routers. Few routers use a limited server, so that each has a rate
- * that it can use, and bursts do not add up; rendezvous hashing keeps most of them when routers join or leave.
+ * Allocates the rate limits that servers announce to routers. Only a few routers use a limited server, so that each
+ * share is a usable rate and bursts do not add up. Rendezvous hashing keeps most assignments when routers join or
+ * leave.
  */
 import type { TimerService } from '@spoolgate/core'
 import { hashText } from '@spoolgate/routing'
@@ -9,49 +10,49 @@
 /** Options of {@link createRateLimitAllocator}. */
 export interface RateLimitAllocatorOptions {
   readonly timers: TimerService
-  /** Lists the routers that have work, or all of them where none has. */
+  /** Lists the routers with work, or all routers if none has any. */
   readonly listRouters: () => readonly string[]
   readonly isRegistered: (server: string) => boolean
 }
 
 /** See {@link createRateLimitAllocator}. */
 export interface RateLimitAllocator {
-  /** Forgets all limits: routers report them to each new leader. */
+  /** Clears all limits; routers report them again to each new leader. */
   reset(): void
-  /** Records what a router observed. */
+  /** Records the limits observed by a router. */
   record(reports: readonly LimitReport[]): void
-  /** Rises with each change of a limit or of a router's part. */
+  /** Revision number, which increases with each change of a limit or of a router's share. */
   revision(): number
-  /** Builds what a router should know. */
+  /** Builds the limits update for a router. */
   buildUpdate(router: string): LimitsUpdate
 }
 
-/** Least rate of one router's part, in requests a second. */
-const MIN_PART_RATE = 0.75
-/** Time after which a new leader assigns parts, in ms: routers have polled it and keep their former parts until then. */
-const SETTLE_MS = 1_500
-/** Time between two looks at the routers, in ms. */
+/** Minimum rate of one router's share, in requests per second. */
+const MIN_SHARE_RATE = 0.75
+/** Delay before a new leader assigns shares, in ms: all routers poll it within that time, and keep their previous shares. */
+const FIRST_ASSIGNMENT_DELAY_MS = 1_500
+/** Minimum interval between refreshes of the router list, in ms. */
 const REFRESH_PERIOD_MS = 250
-/** Time without an observation after which other routers get the rate of a server, in ms. */
-const UNUSED_AFTER_MS = 6_000
-/** Time for which the end of a limit is remembered, in ms. */
-const WITHDRAWN_LIFE_MS = 60_000
-/** Servers whose limits are kept: several times those of a large fleet. */
+/** Time without an observation after which a server's rate is assigned to other routers, in ms. */
+const REASSIGN_UNUSED_AFTER_MS = 6_000
+/** Time for which a withdrawn limit is remembered, in ms. */
+const WITHDRAWN_TTL_MS = 60_000
+/** Maximum number of servers with limits: several times the size of a large deployment. */
 const MAX_LIMITS = 5_000
 
 interface LimitEntry {
   perSecond: number | null
-  /** When it was last observed. */
+  /** When the limit was last observed. */
   at: number
-  /** When its routers were chosen last. */
+  /** When its routers were last chosen. */
   assignedAt: number
-  /** Counts how often other routers were chosen. */
+  /** Number of reassignments to other routers because the rate was unused. */
   round: number
   routers: ReadonlySet<string>
 }
 
-function countParts(perSecond: number, known: number): number {
-  return Math.min(known, Math.max(1, Math.ceil(perSecond / MIN_PART_RATE)))
+function countShares(perSecond: number, known: number): number {
+  return Math.min(known, Math.max(1, Math.ceil(perSecond / MIN_SHARE_RATE)))
 }
 
 function chooseRouters(server: string, entry: LimitEntry, routers: readonly string[]): Set<string> {
@@ -59,11 +60,11 @@
   const seed = hashText(`${server}/${entry.round}`)
   const scored = routers.map((router) => ({ router, score: hashText(router, seed) }))
   scored.sort((a, b) => b.score - a.score || (a.router < b.router ? -1 : 1))
-  const count = countParts(entry.perSecond, routers.length)
+  const count = countShares(entry.perSecond, routers.length)
   return new Set(scored.slice(0, count).map(({ router }) => router))
 }
 
-/** Creates a division of no limits. */
+/** Creates an allocator without limits. */
 export function createRateLimitAllocator(options: RateLimitAllocatorOptions): RateLimitAllocator {
   const { timers, listRouters, isRegistered } = options
   const entries = new Map<string, LimitEntry>()
@@ -71,16 +72,16 @@
   let startedAt = timers.now()
   let refreshedAt = -Infinity
   let routers: readonly string[] = []
-  let isSettled = false
+  let areSharesAssigned = false
 
   const assign = (server: string, entry: LimitEntry) => {
     entry.routers = chooseRouters(server, entry, routers)
     entry.assignedAt = timers.now()
     revision += 1
   }
-  const removeOld = (now: number) => {
+  const removeExpired = (now: number) => {
     for (const [server, { perSecond, at }] of entries) {
-      const isForgotten = perSecond === null && now - at > WITHDRAWN_LIFE_MS
+      const isForgotten = perSecond === null && now - at > WITHDRAWN_TTL_MS
       if (!isForgotten && isRegistered(server)) continue
       entries.delete(server)
       revision += 1
@@ -88,15 +89,16 @@
   }
   const refreshRouters = () => {
     const next = [...listRouters()].sort()
-    const isSame = next.length === routers.length && next.every((name, i) => name === routers[i])
-    if (isSame) return
+    const isUnchanged =
+      next.length === routers.length && next.every((name, i) => name === routers[i])
+    if (isUnchanged) return
     routers = next
     for (const [server, entry] of entries) assign(server, entry)
   }
   const reassignUnused = (now: number) => {
     for (const [server, entry] of entries) {
       if (entry.perSecond === null) continue
-      if (now - Math.max(entry.at, entry.assignedAt) < UNUSED_AFTER_MS) continue
+      if (now - Math.max(entry.at, entry.assignedAt) < REASSIGN_UNUSED_AFTER_MS) continue
       entry.round += 1
       assign(server, entry)
     }
@@ -105,12 +107,12 @@
     const now = timers.now()
     if (now - refreshedAt < REFRESH_PERIOD_MS) return
     refreshedAt = now
-    if (!isSettled && now - startedAt >= SETTLE_MS) {
-      isSettled = true
+    if (!areSharesAssigned && now - startedAt >= FIRST_ASSIGNMENT_DELAY_MS) {
+      areSharesAssigned = true
       revision += 1
     }
     if (entries.size === 0) return
-    removeOld(now)
+    removeExpired(now)
     refreshRouters()
     reassignUnused(now)
   }
@@ -138,7 +140,7 @@
     reset: () => {
       entries.clear()
       startedAt = timers.now()
-      isSettled = false
+      areSharesAssigned = false
       revision += 1
     },
     record: (reports) => {
@@ -155,10 +157,10 @@
       const now = timers.now()
       const servers = [...entries].map(([server, entry]): LimitNews => {
         const { perSecond, at } = entry
-        const news = { server, perSecond, ageMs: Math.max(0, Math.round(now - at)) }
-        return entry.routers.has(router) ? { ...news, part: 1 / entry.routers.size } : news
+        const update = { server, perSecond, ageMs: Math.max(0, Math.round(now - at)) }
+        return entry.routers.has(router) ? { ...update, part: 1 / entry.routers.size } : update
       })
-      return { hasParts: isSettled, servers }
+      return { hasParts: areSharesAssigned, servers }
     },
   }
 }
--- a/packages/control/src/registry/registryControl.ts
+++ b/packages/control/src/registry/registryControl.ts
@@ -1,6 +1,6 @@
 /**
- * A control instance of deployments where backend servers register themselves: the replicated log
- * with routing table, weights and servers, the feed to routers, and the rollout of weights.
+ * Control instance for deployments in which backend servers register themselves. It runs the replicated log that
+ * holds the routing table, weights and servers, serves the feed to routers, and rolls out weights.
  */
 import {
   createDaemonRoutes,
@@ -54,65 +54,70 @@
 export interface RegistryControlOptions {
   readonly instance: string
   readonly host: string
-  /** Port for the fleet's own processes; 0 lets the machine choose. */
+  /** Port for internal traffic; 0 picks a free port. */
   readonly port: number
-  /** Folder on the disk, or a folder that a test made. */
+  /** Path of the data folder, or a folder implementation supplied by a test. */
   readonly dataFolder: string | DataFolder
-  /** URLs of the control instances to start from; read again whenever they are needed. */
+  /** URLs of the initial control instances; called again on each use. */
   readonly seeds: () => readonly string[]
-  /** Whether the whole fleet starts for the first time, so that the seeds found the group. */
+  /** Whether this is the first start of the deployment, in which the seeds form the initial group. */
   readonly isFirstStart: boolean
-  /** Voters that the group should have. */
+  /** Target number of voters in the group. */
   readonly wantedVoters: number
-  readonly orders: EngineClient
+  readonly engineClient: EngineClient
   readonly cacheCalls: CacheCalls
-  /** Decodes the operators' document. */
+  /** Decodes the routing table document submitted by operators. */
   readonly decodeTable: (document: string) => RoutingTable
-  /** Time for which orders of an earlier leader may still count, in ms. */
+  /** Time for which orders of a previous leader may still take effect, in ms. */
   readonly orderLeaseMs: number
-  /** Silence after which a backend server counts as silent, in ms. */
+  /** Time without a heartbeat after which a backend server counts as silent, in ms. */
   readonly silentAfterMs: number
-  /** Age of a newer version after which nothing may begin on older weights, in ms. */
+  /** Age of a newer weights version after which no request may start on an older one, in ms. */
   readonly weightsExpireMs: number
-  /** Tolerance on what teams with limits have run. */
+  /** Permitted overrun of team limits. */
   readonly quotaTolerance: QuotaTolerance
-  /** Notes what comes from outside and cannot be used. */
+  /** Records external input that was rejected. */
   readonly rejectedInputs: RejectedInputs
   readonly logger: Logger
   readonly timers: TimerService
-  /** @default 800, well above a pause of the processor and below the bound on changes */
+  /**
+   * Election timeout, in ms: well above a scheduling pause and below the bound on configuration changes.
+   * @default 500
+   */
   readonly electionMs?: number
-  /** @default 100 */
+  /**
+   * Interval of the leader's heartbeats to the group, in ms.
+   * @default 100
+   */
   readonly heartbeatMs?: number
   /**
-   * When this process began, in ms of the monotonic clock of `timers`.
+   * Start time of this process on the monotonic clock of `timers`, in ms.
    * @default now
    */
   readonly startedAt?: number
-  /** Called when the disk failed; the daemon must then end. */
+  /** Called after a disk failure; the daemon must then exit. */
   readonly onFailure?: (cause: unknown) => void
 }
 
-/** A running control instance. */
+/** A running control instance; see {@link createRegistryControl}. */
 export interface RegistryControl {
   readonly url: string
   readonly member: RaftMember
   readonly machine: ControlMachine
-  /** Runs what operators and backend servers ask for. */
-  readonly operator: FleetOperationRunner
-  /** The routing table for operators. */
+  /** Runs the operations requested by operators and backend servers. */
+  readonly operations: FleetOperationRunner
+  /** Operators' access to the routing table. */
   readonly table: TableAccess
-  /** Renders the metrics. */
   renderMetrics(): Promise<string>
   close(drainMs: number): Promise<CloseReport>
 }
 
 const DEFAULT_ELECTION_MS = 500
 const DEFAULT_HEARTBEAT_MS = 100
-/** Entries between snapshots: tables of 100 KB then stay under 7 MB on a disk of 64 MB. */
+/** Log entries between snapshots: with tables of 100 KB, the log stays under 7 MB on a 64 MB disk. */
 const SNAPSHOT_EVERY = 64
 
-/** Creates a control instance and waits until it listens. */
+/** Creates a control instance; resolves once it is listening. */
 export async function createRegistryControl(
   options: RegistryControlOptions,
 ): Promise<RegistryControl> {
@@ -165,7 +170,7 @@
     snapshotEvery: SNAPSHOT_EVERY,
     startedAt: options.startedAt,
   })
-  const keeper = createGroupKeeper({
+  const groupKeeper = createGroupKeeper({
     member,
     name: identity.name,
     url,
@@ -186,7 +191,7 @@
     'Entries from outside that could not be used',
   )
   options.rejectedInputs.entries.subscribe(({ source }) => rejectedInputs.add(1, { source }))
-  const operator = createFleetOperationRunner({
+  const operations = createFleetOperationRunner({
     member,
     machine,
     client,
@@ -199,18 +204,18 @@
   const rollout = createWeightsRollout({
     member,
     machine,
-    orders: options.orders,
+    engineClient: options.engineClient,
     instance,
     timers,
     logger,
     orderLeaseMs: options.orderLeaseMs,
     sumLoads: () => feed.sumLoads(),
-    findSilenceMs: operator.findSilenceMs,
+    findHeartbeatAgeMs: operations.findHeartbeatAgeMs,
   })
-  const watch = createServerMonitor({
+  const monitor = createServerMonitor({
     machine,
     timers,
-    findSilenceMs: operator.findSilenceMs,
+    findHeartbeatAgeMs: operations.findHeartbeatAgeMs,
     silentAfterMs: options.silentAfterMs,
     weightsExpireMs: options.weightsExpireMs,
   })
@@ -254,11 +259,11 @@
     blame,
     findConditions: () => ({
       loading: rollout.listLoading(),
-      expired: watch.listExpired(),
-      silent: watch.listSilent(),
+      expired: monitor.listExpired(),
+      silent: monitor.listSilent(),
       stores: caches.listLives(),
     }),
-    conditionChanges: merge(rollout.loadingChanges, watch.changes, caches.changes),
+    conditionChanges: merge(rollout.loadingChanges, monitor.changes, caches.changes),
     kept: caches.kept,
     waitForKept: caches.waitForFirstAnswers,
     stopping,
@@ -272,7 +277,7 @@
       method: 'POST',
       path: JOIN_PATH,
       handler: async ({ request, response }: HttpExchange) => {
-        keeper.noteJoin((await readJson(request, INTERNAL_BODY_LIMITS)) as Joiner)
+        groupKeeper.noteJoin((await readJson(request, INTERNAL_BODY_LIMITS)) as Joiner)
         sendJson(response, 200, {})
       },
     },
@@ -280,8 +285,8 @@
       method: 'POST',
       path: FEED_PATH,
       handler: async ({ request, response }: HttpExchange) => {
-        const asked = (await readJson(request, INTERNAL_BODY_LIMITS)) as FeedRequest
-        sendJson(response, 200, await feed.answer(asked, response))
+        const feedRequest = (await readJson(request, INTERNAL_BODY_LIMITS)) as FeedRequest
+        sendJson(response, 200, await feed.answer(feedRequest, response))
       },
     },
     {
@@ -301,8 +306,8 @@
       method: 'POST',
       path: TABLE_PATH,
       handler: async ({ request, response }: HttpExchange) => {
-        const asked = (await readJson(request, INTERNAL_BODY_LIMITS)) as TableRequest
-        sendJson(response, 200, await tableSource.answer(asked, response))
+        const tableRequest = (await readJson(request, INTERNAL_BODY_LIMITS)) as TableRequest
+        sendJson(response, 200, await tableSource.answer(tableRequest, response))
       },
     },
     {
@@ -310,7 +315,7 @@
       path: `${OPERATION_PATH}/:name`,
       handler: async ({ request, response, params }: HttpExchange) => {
         const input = await readJson(request, INTERNAL_BODY_LIMITS)
-        sendJson(response, 200, await operator.runHere(params.name, input))
+        sendJson(response, 200, await operations.runLocally(params.name, input))
       },
     },
   ]
@@ -326,14 +331,14 @@
     url,
     member,
     machine,
-    operator,
-    table: createTableAccess({ operator, table: machine.table }),
+    operations,
+    table: createTableAccess({ operator: operations, table: machine.table }),
     renderMetrics: metrics.render,
     close: async (drainMs) => {
       stopping.next()
-      watch.close()
+      monitor.close()
       await caches.close()
-      await keeper.close()
+      await groupKeeper.close()
       await rollout.close()
       const report = await server.close(drainMs)
       await member.close()
--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -169,9 +169,7 @@
     probe: checkConnection,
     isRegistered: (id) => feed.current()?.servers.has(id) ?? false,
   })
-  const prefixCache = createPrefixCacheIndex({
-    findCacheTokens: (holder) => findCacheTokens(holder),
-  })
+  const prefixCache = createPrefixCacheIndex({ findCacheTokens: (id) => findCacheTokens(id) })
   const findCacheTokens = (holder: BackendServerId): number => {
     const view = feed.current()
     const group = view?.servers.get(holder)?.group
