--- /dev/null
+++ b/packages/router/src/direct/responseRelay.ts
@@ -0,0 +1,145 @@
+/**
+ * Relays the response of a backend server to the caller. A response that is not a stream is buffered first, so that a
+ * truncated one can still be retried or turned into an error response. Events of a stream are forwarded as they arrive.
+ */
+import type { IncomingMessage, ServerResponse } from 'node:http'
+import type { HeaderList } from './protocols.js'
+import { createSseEventBuffer, type SseEventBuffer } from './sseEventBuffer.js'
+
+/** Whether a response body was received completely. */
+export type BodyResult = 'whole' | 'broken'
+
+/** Detects whether a response body arrived completely. */
+interface CompletionWatch {
+  isComplete(): boolean
+}
+
+/**
+ * Watches for the end of a response body. A body with neither Content-Length nor chunked encoding ends when its
+ * connection closes, and Node also reports a connection reset as such an end: it swallows the error, or, if the reset
+ * arrives together with the last bytes, raises none. Only a socket that was reset no longer has a remote address when
+ * it emits `end`.
+ */
+function watchCompletion(message: IncomingMessage): CompletionWatch {
+  const { 'content-length': length, 'transfer-encoding': transferEncoding } = message.headers
+  const isFramed = length !== undefined || transferEncoding !== undefined
+  const { socket } = message
+  let isReset = false
+  if (!isFramed) {
+    socket.prependOnceListener('end', () => {
+      isReset = socket.remoteAddress === undefined
+    })
+  }
+  return {
+    isComplete: () => message.complete && (isFramed || (!isReset && socket.errored === null)),
+  }
+}
+
+/** Reads the whole body; returns undefined if it is truncated. */
+export function readResponseBody(message: IncomingMessage): Promise<Buffer | undefined> {
+  return new Promise((resolve) => {
+    const chunks: Buffer[] = []
+    const watch = watchCompletion(message)
+    message.on('data', (chunk: Buffer) => chunks.push(chunk))
+    message.on('end', () => resolve(watch.isComplete() ? Buffer.concat(chunks) : undefined))
+    message.on('error', () => resolve(undefined))
+    message.on('close', () => resolve(undefined))
+  })
+}
+
+/** Writes the status line and headers; a header field may occur more than once. */
+function writeHead(response: ServerResponse, status: number, headers: HeaderList): void {
+  response.writeHead(
+    status,
+    headers.flatMap(([name, value]) => [name, value]),
+  )
+}
+
+/** Sends a buffered response with the length of its body. */
+export function sendBufferedResponse(
+  response: ServerResponse,
+  status: number,
+  headers: HeaderList,
+  body: Buffer,
+): void {
+  const isLength = ([name]: readonly [string, string]) => name.toLowerCase() === 'content-length'
+  const fields = headers.filter((field) => !isLength(field))
+  writeHead(response, status, [...fields, ['Content-Length', String(body.length)]])
+  response.end(body)
+}
+
+/** The response stream of one caller, across all attempts that supply its events. */
+export interface StreamRelay {
+  /** Whether the response head has been sent to the caller. */
+  hasBegun(): boolean
+  /** Id of the last complete event that was forwarded; undefined before the first. */
+  lastEventId(): string | undefined
+  /** Forwards the events of one backend response until it ends or breaks off. */
+  relay(message: IncomingMessage, headers: HeaderList): Promise<BodyResult>
+  /** Ends the response to the caller. */
+  finish(): void
+}
+
+/** Options of {@link createStreamRelay}. */
+export interface StreamRelayOptions {
+  readonly response: ServerResponse
+  /** Whether another attempt may resume a broken stream; if so, only complete events are forwarded. */
+  readonly isResumable: boolean
+  /** Called for each chunk that is forwarded. */
+  readonly onChunk: () => void
+}
+
+/** Creates a relay whose response has not started. */
+export function createStreamRelay(options: StreamRelayOptions): StreamRelay {
+  const { response, isResumable, onChunk } = options
+  let lastId: string | undefined
+  let hasBegun = false
+
+  const forward = (message: IncomingMessage, headers: HeaderList, data: Buffer) => {
+    if (data.length === 0) return
+    if (!hasBegun) {
+      hasBegun = true
+      writeHead(response, message.statusCode ?? 200, headers)
+    }
+    onChunk()
+    if (response.write(data)) return
+    message.pause()
+    response.once('drain', () => message.resume())
+  }
+  const takeForwardable = (eventBuffer: SseEventBuffer, chunk: Buffer) => {
+    const whole = eventBuffer.add(chunk)
+    lastId = eventBuffer.lastEventId() ?? lastId
+    return isResumable ? whole : chunk
+  }
+  return {
+    hasBegun: () => hasBegun,
+    lastEventId: () => lastId,
+    relay: (message, headers) =>
+      new Promise((resolve) => {
+        const eventBuffer = createSseEventBuffer()
+        const watch = watchCompletion(message)
+        message.on('data', (chunk: Buffer) =>
+          forward(message, headers, takeForwardable(eventBuffer, chunk)),
+        )
+        message.on('end', () => {
+          const isComplete = watch.isComplete() && !eventBuffer.hasPartialEvent()
+          if (isComplete && !hasBegun) {
+            hasBegun = true
+            writeHead(response, message.statusCode ?? 200, headers)
+          }
+          resolve(isComplete ? 'whole' : 'broken')
+        })
+        message.on('error', () => resolve('broken'))
+        message.on('close', () => resolve('broken'))
+      }),
+    finish: () => response.end(),
+  }
+}
+
+/**
+ * Returns whether the caller has closed its connection. The socket shows this a few turns of the event loop before the
+ * response is destroyed.
+ */
+export function isCallerDisconnected(response: ServerResponse): boolean {
+  return response.destroyed || response.socket?.readableEnded === true
+}
--- a/packages/router/src/direct/sendRecord.ts
+++ b/packages/router/src/direct/sendRecord.ts
@@ -1,12 +1,12 @@
-/** What a router notes of a choice and of a send: for its log, and for later choices of all routers. */
+/** Records server choices and attempts: for the log, the metrics and later choices of all routers. */
 import { formatCallScope, type CallPlan } from './callPlan.js'
 import { recordEngineWork, type Candidate } from './serverRanking.js'
 import type { BackendRequest } from './protocols.js'
 import type { DirectContext } from './directContext.js'
 import { buildPlacement } from './prefixCacheIndex.js'
 
-/** Formats a choice with what decided it, and the server that came second. */
-export function formatChoice(
+/** Builds the log fields of a server choice: the figures that decided it and the second-best server. */
+export function formatServerChoice(
   plan: CallPlan,
   best: Candidate,
   second: Candidate | undefined,
@@ -27,8 +27,8 @@
   }
 }
 
-/** Builds the fields of a send that follow from the choice. */
-export function buildSend(
+/** Builds the fields of a send that depend on the chosen server. */
+export function buildSendFields(
   { call, team }: CallPlan,
   { server, version, fetchFrom, saveTo }: Candidate,
 ): Omit<BackendRequest, 'bodyBytes' | 'leftMs' | 'priority' | 'lastEventId'> {
@@ -43,8 +43,8 @@
   }
 }
 
-/** Records the work that a prompt makes for its engine, and where its parts will be. */
-export function recordPrompt(parts: DirectContext, plan: CallPlan, candidate: Candidate): void {
+/** Records the work that a prompt causes on its engine, and where its parts will be cached. */
+export function recordSentPrompt(parts: DirectContext, plan: CallPlan, candidate: Candidate): void {
   const { prompt } = plan.call
   const { server, version, saveTo, matchedTokens } = candidate
   if (!prompt || version === undefined) return
--- a/packages/router/src/direct/serveCall.ts
+++ b/packages/router/src/direct/serveCall.ts
@@ -1,19 +1,19 @@
 /**
- * Serving one request on the direct path: choose a backend server, send, and pass the answer on. A
- * request that may have run is sent again only where it may be repeated, or where its stream may be
- * continued; what is refused as not run has not run.
+ * Serves one request on the direct path: chooses a backend server, sends the request and relays the response. A request
+ * that may have run is retried only if its route allows repetition, or if its stream can be resumed. An error that says
+ * that a request was not run is sent only if it was not.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { BackendServerId, RequestFingerprint, SpoolgateError } from '@spoolgate/core'
 import type { Subscription } from 'rxjs'
-import { judgeHead } from './answerHead.js'
-import { createStreamRelay, isCallerGone, type StreamRelay } from './answerRelay.js'
-import { createAnswerTimes, type AnswerTimes } from './answerTimes.js'
+import { checkResponseHead } from './responseHead.js'
+import { createStreamRelay, isCallerDisconnected, type StreamRelay } from './responseRelay.js'
+import { createRequestTimings, type RequestTimings } from './requestTimings.js'
 import { isProofFresh, resolveSendPriority, type CallPlan } from './callPlan.js'
 import type { Candidate } from './serverRanking.js'
 import type { HeaderList } from './protocols.js'
 import type { DirectContext } from './directContext.js'
-import { waitForHead } from './headWait.js'
+import { waitForResponseHead } from './responseHeadWait.js'
 import { CONNECT_TIMEOUT_MS } from './livenessMonitor.js'
 import { listRefusalFields } from './gracefulShutdown.js'
 import {
@@ -22,55 +22,59 @@
   createOutcomeUnknownError,
 } from './errorResponses.js'
 import {
-  CALL_OUTCOMES,
-  PROMISING_STATUSES,
-  relayAnswer,
-  type Failed,
-  type NotRun,
-  type SendEnd,
-} from './sendEnd.js'
+  SERVER_OUTCOMES,
+  NOT_RUN_STATUSES,
+  relayResponse,
+  type FailedOutcome,
+  type NotRunOutcome,
+  type AttemptOutcome,
+} from './attemptOutcome.js'
 import { hashRequest } from './requestFingerprint.js'
-import { admitSend, type AdmittedSend, type RequestState } from './sendAdmission.js'
+import { admitAttempt, type AdmittedAttempt, type RequestState } from './attemptAdmission.js'
 import { findGroupRetryAfterSeconds } from './serverSelection.js'
-import { buildSend, recordPrompt } from './sendRecord.js'
-import { startSend, type Send } from './sendOnce.js'
+import { buildSendFields, recordSentPrompt } from './sendRecord.js'
+import { startAttempt, type SendAttempt } from './sendAttempt.js'
 import { watchStall } from './restartDetector.js'
 import type { TrackedCall } from './serverStats.js'
 
-/** Ends of sends that no server began. */
-const NEVER_BEGUN: ReadonlySet<SendEnd['kind']> = new Set(['notSent', 'forbidden', 'notRun'])
+/** Outcomes of attempts that no server has started to process. */
+const NOT_STARTED_OUTCOMES: ReadonlySet<AttemptOutcome['kind']> = new Set([
+  'notSent',
+  'forbidden',
+  'notRun',
+])
 
-/** Serves one planned request; resolves once its final answer was given. */
+/** Serves one planned request; resolves once its final response has been sent. */
 export async function serveCall(
   parts: DirectContext,
   plan: CallPlan,
   body: Buffer,
   response: ServerResponse,
 ): Promise<void> {
-  const served = new ServedCall(parts, plan, body, response)
-  await served.run()
+  const servedCall = new ServedCall(parts, plan, body, response)
+  await servedCall.run()
 }
 
-/** The state of one request while it is served. */
+/** A request while it is served, across its attempts. */
 class ServedCall implements RequestState {
   private readonly relay: StreamRelay
   readonly sentTo = new Set<BackendServerId>()
   readonly excluded = new Set<BackendServerId>()
   mayHaveRun = false
-  private isOver = false
-  private current: Send | undefined
+  private isFinished = false
+  private currentAttempt: SendAttempt | undefined
   private timeout: Subscription | undefined
   sends = 0
-  private ticket: TrackedCall | undefined
-  /** When the last part of the answer came, in ms of the monotonic clock. */
-  private lastSignAt = -Infinity
-  /** When the last send began, in ms of the monotonic clock. */
+  private trackedCall: TrackedCall | undefined
+  /** When the last chunk of the response arrived, in ms of the monotonic clock. */
+  private lastChunkAt = -Infinity
+  /** When the last attempt started, in ms of the monotonic clock. */
   private sentAt = -Infinity
-  private readonly times: AnswerTimes
+  private readonly timings: RequestTimings
   readonly fingerprint: RequestFingerprint
-  private stopWaiting: () => void = () => {}
-  /** Records that the send in flight broke off. */
-  private recordLost: () => void = () => {}
+  private resolveFinished: () => void = () => {}
+  /** Records that the connection of the current attempt was lost. */
+  private recordConnectionLoss: () => void = () => {}
 
   constructor(
     private readonly parts: DirectContext,
@@ -78,49 +82,51 @@
     private readonly body: Buffer,
     private readonly response: ServerResponse,
   ) {
-    this.times = createAnswerTimes(parts, plan)
+    this.timings = createRequestTimings(parts, plan)
     this.fingerprint = hashRequest(plan, body)
     this.relay = createStreamRelay({
       response,
       isResumable: plan.route.repeatability === 'resumable',
-      onPart: () => this.recordPart(),
+      onChunk: () => this.recordChunk(),
     })
   }
 
   async run(): Promise<void> {
     const { parts, plan, response } = this
     const leftMs = Math.max(0, plan.deadline - parts.timers.now())
-    const isDone = new Promise<void>((resolve) => {
-      this.stopWaiting = resolve
+    const finished = new Promise<void>((resolve) => {
+      this.resolveFinished = resolve
     })
     response.once('close', () => {
-      if (!response.writableFinished) this.stop('callerLeft')
+      if (!response.writableFinished) this.finish('callerLeft')
     })
-    this.timeout = parts.timers.after(leftMs).subscribe(() => this.giveUpAtDeadline())
-    const work = this.sendUntilAnswered().catch((cause) => {
+    this.timeout = parts.timers.after(leftMs).subscribe(() => this.handleDeadline())
+    const work = this.runAttempts().catch((cause) => {
       const reason = cause instanceof Error ? cause.message : String(cause)
       parts.logger.error('call.internalError', { request: plan.call.id, reason })
-      this.refuse(createOutcomeUnknownError('an internal fault; report it with the request id'))
+      this.finishWithError(
+        createOutcomeUnknownError('internal error; report it with the request id'),
+      )
     })
-    await Promise.race([work, isDone])
+    await Promise.race([work, finished])
     this.timeout.unsubscribe()
   }
 
-  private recordPart(): void {
-    this.ticket?.recordFirstChunk()
-    this.ticket?.recordActivity()
-    this.lastSignAt = this.parts.timers.now()
-    this.times.recordFirstPart()
+  private recordChunk(): void {
+    this.trackedCall?.recordFirstChunk()
+    this.trackedCall?.recordActivity()
+    this.lastChunkAt = this.parts.timers.now()
+    this.timings.recordFirstPart()
   }
 
-  /** Ends all work for a request whose caller is gone or was answered. */
-  private stop(reason: string): void {
-    if (this.isOver) return
-    this.isOver = true
-    this.current?.cancel()
-    this.ticket?.finish('none')
-    this.log('call.end', { outcome: reason, firstPartMs: this.times.firstPartMs() })
-    this.stopWaiting()
+  /** Completes the request, once its response is sent or its caller has disconnected, and cancels all work for it. */
+  private finish(reason: string): void {
+    if (this.isFinished) return
+    this.isFinished = true
+    this.currentAttempt?.cancel()
+    this.trackedCall?.finish('none')
+    this.log('call.end', { outcome: reason, firstPartMs: this.timings.firstPartMs() })
+    this.resolveFinished()
   }
 
   private log(event: string, fields: Record<string, unknown>): void {
@@ -137,66 +143,68 @@
     })
   }
 
-  private giveUpAtDeadline(): void {
-    if (this.isOver) return
-    // A crashed server accepts no connections; a slow one does.
-    if (this.ticket?.hasNoServerActivity()) this.recordLost()
+  private handleDeadline(): void {
+    if (this.isFinished) return
+    // The crash detector tells a crashed server from a slow one: a slow one still accepts connections.
+    if (this.trackedCall?.hasNoServerActivity()) this.recordConnectionLoss()
     if (this.relay.hasBegun()) {
-      this.stop('timedOutInStream')
+      this.finish('timedOutInStream')
       this.response.destroy()
       return
     }
-    this.refuse(createTimeoutError(this.mayHaveRun))
+    this.finishWithError(createTimeoutError(this.mayHaveRun))
   }
 
-  /** Gives the final answer of a request that nobody answered. */
-  private refuse(error: SpoolgateError): void {
-    if (this.isOver) return
+  /** Completes the request with an error response, or cuts the stream off if it has started. */
+  private finishWithError(error: SpoolgateError): void {
+    if (this.isFinished) return
     this.parts.instruments.refusals.add(1, { kind: error.kind })
-    this.stop(error.kind)
+    this.finish(error.kind)
     if (this.relay.hasBegun()) this.response.destroy()
     else this.parts.caller.sendRefusal(this.response, this.plan.call, error)
   }
 
-  private async sendUntilAnswered(): Promise<void> {
-    while (!this.isOver) {
-      // A busy router finds a request and the end of its caller's connection together: looking at the
-      // sockets once more before each send keeps what nobody waits for from the backend servers.
+  private async runAttempts(): Promise<void> {
+    while (!this.isFinished) {
+      // A busy router may read a request and the close of its caller's connection in the same turn of the event loop.
+      // Polling the sockets once more before each attempt keeps requests without a caller off the backend servers.
       await this.parts.turns.take()
-      if (isCallerGone(this.response)) this.stop('callerLeft')
-      if (this.isOver) return
-      const refusal = this.findStopRefusal()
-      if (refusal) return this.refuse(refusal)
-      const admission = await admitSend(this.parts, this.plan, this, (event, fields) =>
+      if (isCallerDisconnected(this.response)) this.finish('callerLeft')
+      if (this.isFinished) return
+      const refusal = this.findShutdownRefusal()
+      if (refusal) return this.finishWithError(refusal)
+      const admission = await admitAttempt(this.parts, this.plan, this, (event, fields) =>
         this.log(event, fields),
       )
-      if (admission.kind === 'refused') return this.refuse(admission.error)
-      if (this.isOver) return admission.giveBack()
-      const end = await this.sendAdmitted(admission)
-      if (NEVER_BEGUN.has(end.kind)) admission.giveBack()
-      if (this.isOver) return
-      if (await this.settle(admission.candidate, end)) return
+      if (admission.kind === 'refused') return this.finishWithError(admission.error)
+      if (this.isFinished) return admission.release()
+      const outcome = await this.runAdmittedAttempt(admission)
+      if (NOT_STARTED_OUTCOMES.has(outcome.kind)) admission.release()
+      if (this.isFinished) return
+      if (await this.handleOutcome(admission.candidate, outcome)) return
     }
   }
 
-  /** Sends, and records in the quarantine what became of the request. */
-  private async sendAdmitted({ candidate, round }: AdmittedSend): Promise<SendEnd> {
-    const { quarantine, crashDetector: exits } = this.parts
+  /** Runs an admitted attempt and records its outcome for the quarantine. */
+  private async runAdmittedAttempt({ candidate, round }: AdmittedAttempt): Promise<AttemptOutcome> {
+    const { quarantine, crashDetector } = this.parts
     const { server } = candidate
-    this.recordLost = () => exits.recordInterrupted(server, { request: this.fingerprint, round })
-    const end = await this.sendTo(candidate)
-    const isLost = end.kind === 'lost' || end.kind === 'abandoned'
-    // What this router broke off itself shows nothing.
-    if (isLost && !this.isOver) this.recordLost()
-    if (end.kind === 'answered') quarantine.recordAnswered(this.fingerprint)
-    return end
+    this.recordConnectionLoss = () =>
+      crashDetector.recordInterrupted(server, { request: this.fingerprint, round })
+    const outcome = await this.sendWithStallWatch(candidate)
+    const isConnectionLost = outcome.kind === 'lost' || outcome.kind === 'abandoned'
+    // A connection that this router closed itself says nothing about the server.
+    if (isConnectionLost && !this.isFinished) this.recordConnectionLoss()
+    if (outcome.kind === 'answered') quarantine.recordAnswered(this.fingerprint)
+    return outcome
   }
 
   /**
-   * A request that servers refused may still be begun elsewhere, rather than here by a router that
-   * may not see its end; what may have run goes on. The first send was judged before.
+   * Returns the error for a request that must not be retried because this router is shutting down. A request that
+   * servers refused can still be sent through another router, which will see it through; one that may have run goes on
+   * here. The first attempt was checked before.
    */
-  private findStopRefusal(): SpoolgateError | undefined {
+  private findShutdownRefusal(): SpoolgateError | undefined {
     if (this.sends === 0 || this.mayHaveRun) return undefined
     const refusal = this.parts.shutdown.findRefusal(this.plan)
     if (refusal) this.log('call.notSentAgain', listRefusalFields(refusal))
@@ -206,65 +214,65 @@
   private buildHeaders(candidate: Candidate): HeaderList | undefined {
     const { parts, plan } = this
     const leftMs = Math.floor(plan.deadline - parts.timers.now())
-    if (leftMs <= 0 || this.isOver || isCallerGone(this.response)) return undefined
+    if (leftMs <= 0 || this.isFinished || isCallerDisconnected(this.response)) return undefined
     if (plan.team && !isProofFresh(parts)) return undefined
     this.sentTo.add(candidate.server.id)
     this.mayHaveRun = true
     return parts.backend.encodeHeaders({
-      ...buildSend(plan, candidate),
+      ...buildSendFields(plan, candidate),
       bodyBytes: this.body.length,
       leftMs,
-      priority: this.rankNow(candidate),
-      lastEventId: this.relay.lastId() ?? plan.call.lastEventId,
+      priority: this.rankAttempt(candidate),
+      lastEventId: this.relay.lastEventId() ?? plan.call.lastEventId,
     })
   }
 
-  private rankNow({ expectedMs }: Candidate): number {
+  private rankAttempt({ expectedMs }: Candidate): number {
     const { plan, parts, relay } = this
     if (relay.hasBegun()) return plan.priority
     return resolveSendPriority(plan, parts.timers.now() - plan.arrivedAt + expectedMs)
   }
 
-  private recordSend(candidate: Candidate): void {
+  private recordAttempt(candidate: Candidate): void {
     const { parts, plan } = this
     const { server, uncachedTokens: unreadTokens } = candidate
-    this.ticket = parts.serverStats.startCall(server.id, unreadTokens)
+    this.trackedCall = parts.serverStats.startCall(server.id, unreadTokens)
     this.sentAt = parts.timers.now()
     parts.backpressure.recordSend(server.id, this.sentAt)
     parts.limits.recordSend(server.id, this.sentAt)
-    this.times.recordSend(unreadTokens)
+    this.timings.recordAttempt(unreadTokens)
     if (this.sends === 0) parts.retryBudget.recordFirstSend(plan.group.name)
     this.sends += 1
     parts.instruments.sends.add(1, { group: plan.group.name })
-    recordPrompt(parts, plan, candidate)
+    recordSentPrompt(parts, plan, candidate)
   }
 
-  private async sendTo(candidate: Candidate): Promise<SendEnd> {
-    const restarted = watchStall({
+  private async sendWithStallWatch(candidate: Candidate): Promise<AttemptOutcome> {
+    const stallWatch = watchStall({
       restarts: this.parts.restartDetector,
       timers: this.parts.timers,
       server: candidate.server.id,
-      lastDataAt: () => this.lastSignAt,
+      lastDataAt: () => this.lastChunkAt,
       onRestart: () => {
         this.log('call.serverRestarted', { server: candidate.server.id })
-        this.current?.startProbing()
+        this.currentAttempt?.enableKeepAliveProbes()
       },
       onStall: () => {
-        if (!this.isOver && this.isRepeatable()) this.current?.cancel()
+        if (!this.isFinished && this.isRetryable()) this.currentAttempt?.cancel()
       },
     })
     try {
       return await this.sendToServer(candidate)
     } finally {
-      restarted.unsubscribe()
+      stallWatch.unsubscribe()
     }
   }
 
-  private async sendToServer(candidate: Candidate): Promise<SendEnd> {
+  private async sendToServer(candidate: Candidate): Promise<AttemptOutcome> {
     const { parts, plan } = this
-    this.recordSend(candidate)
-    const couldHaveRun = this.mayHaveRun
-    const send = startSend({
+    this.recordAttempt(candidate)
+    const previousMayHaveRun = this.mayHaveRun
+    const send = startAttempt({
       agent: parts.agent,
       timers: parts.timers,
       address: candidate.server.address,
@@ -274,44 +282,45 @@
       body: this.body,
       connectMs: CONNECT_TIMEOUT_MS,
     })
-    this.current = send
-    const result = await waitForHead({
+    this.currentAttempt = send
+    const result = await waitForResponseHead({
       send,
       server: candidate.server,
       timers: parts.timers,
       liveness: parts.liveness,
       agent: parts.agent,
-      mayBeReading: plan.call.prompt !== undefined,
-      isUnanswered: () => !this.isOver && this.ticket?.hasNoServerActivity() === true,
-      takeRepeat: () => this.mayRepeat(),
+      mayBePrefilling: plan.call.prompt !== undefined,
+      isUnanswered: () => !this.isFinished && this.trackedCall?.hasNoServerActivity() === true,
+      takeRetry: () => this.takeRetry(),
     })
-    if (result.kind === 'notSent' || result.kind === 'forbidden') this.mayHaveRun = couldHaveRun
+    if (result.kind === 'notSent' || result.kind === 'forbidden')
+      this.mayHaveRun = previousMayHaveRun
     if (result.kind !== 'head') return result
     const { message } = result
-    this.ticket?.recordActivity()
-    const end = judgeHead(parts, plan, candidate, { message, sentAt: this.sentAt })
-    if (end?.kind === 'notRun') this.mayHaveRun = couldHaveRun
-    return end ?? this.relayAnswer(message)
+    this.trackedCall?.recordActivity()
+    const outcome = checkResponseHead(parts, plan, candidate, { message, sentAt: this.sentAt })
+    if (outcome?.kind === 'notRun') this.mayHaveRun = previousMayHaveRun
+    return outcome ?? this.relayToCaller(message)
   }
 
-  private relayAnswer(message: IncomingMessage): Promise<SendEnd> {
+  private relayToCaller(message: IncomingMessage): Promise<AttemptOutcome> {
     const { response, relay } = this
     const headers = this.parts.backend.listAnswerHeaders(message)
-    return relayAnswer({ message, headers, response, relay, isOver: () => this.isOver })
+    return relayResponse({ message, headers, response, relay, isFinished: () => this.isFinished })
   }
 
-  /** Draws the consequence of one send; true once the request has its final answer. */
-  private async settle(candidate: Candidate, end: SendEnd): Promise<boolean> {
-    this.ticket?.finish(CALL_OUTCOMES[end.kind])
-    if (end.kind !== 'answered') {
-      const { kind, reason } = end
-      const backoff = kind === 'notRun' ? end.backoff : undefined
+  /** Handles the outcome of an attempt; returns true once the request has its final response. */
+  private async handleOutcome(candidate: Candidate, outcome: AttemptOutcome): Promise<boolean> {
+    this.trackedCall?.finish(SERVER_OUTCOMES[outcome.kind])
+    if (outcome.kind !== 'answered') {
+      const { kind, reason } = outcome
+      const backoff = kind === 'notRun' ? outcome.backoff : undefined
       this.log('call.sendEnded', { server: candidate.server.id, end: kind, reason, backoff })
     }
-    switch (end.kind) {
+    switch (outcome.kind) {
       case 'answered':
-        this.times.recordPlainAnswer()
-        this.stop('answered')
+        this.timings.recordPlainResponse()
+        this.finish('answered')
         return true
       case 'notSent':
         this.parts.liveness.recordUnreachable(candidate.server)
@@ -321,60 +330,60 @@
         this.excluded.add(candidate.server.id)
         return false
       case 'forbidden':
-        this.refuse(createUnavailableError(this.mayHaveRun))
+        this.finishWithError(createUnavailableError(this.mayHaveRun))
         return true
       case 'notRun':
-        return this.settleNotRun(candidate, end)
+        return this.handleNotRun(candidate, outcome)
       case 'failed':
-        return this.settleFailed(candidate, end)
+        return this.handleFailed(candidate, outcome)
       case 'lost':
-        return this.settleLost(candidate, end.reason)
+        return this.handleLost(candidate, outcome.reason)
     }
   }
 
-  private settleNotRun(candidate: Candidate, end: NotRun): boolean {
+  private handleNotRun(candidate: Candidate, outcome: NotRunOutcome): boolean {
     const { server, version } = candidate
-    // A server that only has newer weights than presumed takes the request under their version.
-    const isCorrected = (end.version ?? 0) > (version ?? Infinity)
-    if (!isCorrected) this.excluded.add(server.id)
+    // A server that refused only because its weights are newer than presumed will accept the new version.
+    const hasNewerVersion = (outcome.version ?? 0) > (version ?? Infinity)
+    if (!hasNewerVersion) this.excluded.add(server.id)
     if (this.parts.retryBudget.takeRetry(this.plan.group.name)) return false
-    this.refuse(
+    this.finishWithError(
       createUnavailableError(this.mayHaveRun, findGroupRetryAfterSeconds(this.parts, this.plan)),
     )
     return true
   }
 
-  private settleFailed(candidate: Candidate, end: Failed): boolean {
+  private handleFailed(candidate: Candidate, outcome: FailedOutcome): boolean {
     this.excluded.add(candidate.server.id)
-    if (this.mayRepeat()) return false
-    // A status that promises "not run" would be false for a request that ran.
-    if (PROMISING_STATUSES.has(end.status)) {
-      this.refuse(createOutcomeUnknownError('the backend server failed'))
+    if (this.takeRetry()) return false
+    // The request ran, so a status that says that it was not run must not be forwarded.
+    if (NOT_RUN_STATUSES.has(outcome.status)) {
+      this.finishWithError(createOutcomeUnknownError('the backend server failed'))
       return true
     }
-    this.stop(`status${end.status}`)
-    end.pass()
+    this.finish(`status${outcome.status}`)
+    outcome.forward()
     return true
   }
 
-  private settleLost(candidate: Candidate, reason: string): boolean {
+  private handleLost(candidate: Candidate, reason: string): boolean {
     this.excluded.add(candidate.server.id)
-    if (this.mayRepeat()) return false
-    this.refuse(createOutcomeUnknownError(reason))
+    if (this.takeRetry()) return false
+    this.finishWithError(createOutcomeUnknownError(reason))
     return true
   }
 
-  /** Whether the kind of the request, and what its caller has got of it, allow that it runs again. */
-  private isRepeatable(): boolean {
+  /** Whether the route, and what has been forwarded to the caller, allow the request to run again. */
+  private isRetryable(): boolean {
     const { repeatability } = this.plan.route
     if (repeatability === 'once') return false
     return !this.relay.hasBegun() || repeatability === 'resumable'
   }
 
-  /** Whether a request that may have run may be sent to another server now. */
-  private mayRepeat(): boolean {
+  /** Takes one retry from the budget if a request that may have run may be sent to another server now. */
+  private takeRetry(): boolean {
     const { route, group } = this.plan
-    if (!this.isRepeatable()) return false
+    if (!this.isRetryable()) return false
     if (this.sentTo.size >= route.maxServers) return false
     return this.parts.retryBudget.takeRetry(group.name)
   }
--- a/packages/router/src/direct/serverRanking.ts
+++ b/packages/router/src/direct/serverRanking.ts
@@ -10,7 +10,11 @@
 import type { LivenessMonitor } from './livenessMonitor.js'
 import type { PrefixCacheIndex } from './prefixCacheIndex.js'
 import type { ServerStats } from './serverStats.js'
-import { isOpenTo, judgeServer, type VerdictParts } from './serverVerdict.js'
+import {
+  isSendAllowed,
+  checkServerAvailability,
+  type AvailabilityParts,
+} from './serverAvailability.js'
 import { LONG_PROMPT_TOKENS, type PromptLength, type EnginePartition } from './enginePartition.js'
 import type { ServiceTimes } from './serviceTimes.js'
 import {
@@ -56,7 +60,7 @@
 }
 
 /** State that the ranking reads. */
-export interface RankingContext extends VerdictParts {
+export interface RankingContext extends AvailabilityParts {
   readonly serverStats: ServerStats
   readonly prefixCache: PrefixCacheIndex
   readonly liveness: LivenessMonitor
@@ -278,7 +282,7 @@
 export function rankServers(context: RankingContext, input: RankingInput): Candidate[] {
   const { view, group, prompt, excluded, formatScope, now } = input
   const { serverStats, prefixCache, liveness, limits } = context
-  const isOpen = (id: BackendServerId) => isOpenTo(judgeServer(context, id, now))
+  const isOpen = (id: BackendServerId) => isSendAllowed(checkServerAvailability(context, id, now))
   const inGroup = [...view.servers.values()].filter(
     (server) => server.group === group.name && server.phase === 'ready',
   )
@@ -294,7 +298,7 @@
     )
   const { engine } = group
   const isSheddingHereOrElsewhere = ({ id }: RegisteredServer) =>
-    !isOpenTo(context.backpressure.judgeSend(id, now)) || isShedding(view, id)
+    !isSendAllowed(context.backpressure.judgeSend(id, now)) || isShedding(view, id)
   const acceptsNewPrefixes = (id: BackendServerId) =>
     isOpen(id) && !isShedding(view, id) && !limits.isLimited(id)
   const locationsInput = {
