--- a/packages/router/src/__tests__/backoffSimulation.ts
+++ b/packages/router/src/__tests__/backoffSimulation.ts
@@ -1,6 +1,6 @@
 /**
- * Simulation of servers that reject requests and request backoff, in virtual time and without a network: the routers' real
- * server ranking and backoff handling, on simulated servers that shed load in turn.
+ * Simulation of servers that reject requests and request backoff, in virtual time and without a network: the routers'
+ * real server ranking and backoff handling, on simulated servers that shed load in turn.
  */
 import { createLoadAggregator, type FleetView, type RegisteredServer } from '@spoolgate/control'
 import { createManualTimerService, createRandomSource, type BackendServerId } from '@spoolgate/core'
@@ -110,10 +110,10 @@
   private isShedding(server: RegisteredServer): boolean {
     const { servers, phaseMs: turnMs, sheddingRatio: sheddingPart } = this.options
     const count = Math.round(servers * sheddingPart)
-    const turn = Math.floor(this.timers.now() / turnMs)
-    const first = (Math.floor(turn / 2) * count) % servers
+    const phase = Math.floor(this.timers.now() / turnMs)
+    const first = (Math.floor(phase / 2) * count) % servers
     const place = (this.servers.indexOf(server) - first + servers) % servers
-    return turn % 2 === 1 && place < count
+    return phase % 2 === 1 && place < count
   }
 
   private poll(router: SimulatedRouter): void {
@@ -128,11 +128,8 @@
     timers.after(periodMs * (0.5 + random.next())).subscribe(() => this.poll(router))
   }
 
-  private choose(
-    { context: parts, view }: SimulatedRouter,
-    excluded: ReadonlySet<BackendServerId>,
-  ) {
-    const [best] = rankServers(parts, {
+  private choose({ context, view }: SimulatedRouter, excluded: ReadonlySet<BackendServerId>) {
+    const [best] = rankServers(context, {
       view,
       group: GROUP,
       prompt: PROMPT,
@@ -147,9 +144,9 @@
   private countSend({ backoffs }: SimulatedRouter, server: BackendServerId): void {
     const now = this.timers.now()
     for (const backoff of backoffs) {
-      const isIn =
+      const isWithin =
         backoff.server === server && now >= backoff.from + SIGNAL_DELAY_MS && now < backoff.until
-      if (isIn) backoff.sends += 1
+      if (isWithin) backoff.sends += 1
     }
     this.sends.push({ server, at: now })
   }
@@ -157,14 +154,14 @@
   /** Sends a request, or retries it at a server that has not rejected it yet. */
   private send(router: SimulatedRouter, excluded: Set<BackendServerId>): void {
     const { timers, random } = this
-    const { context: parts, retryBudget: retries } = router
+    const { context, retryBudget: retryBudget } = router
     const best = this.choose(router, excluded)
     if (!best) return
     const { id } = best.server
-    const trackedCall = parts.serverStats.startCall(id, best.uncachedTokens)
-    parts.backpressure.recordSend(id, timers.now())
+    const trackedCall = context.serverStats.startCall(id, best.uncachedTokens)
+    context.backpressure.recordSend(id, timers.now())
     this.countSend(router, id)
-    if (excluded.size === 0) retries.recordFirstSend(GROUP.name)
+    if (excluded.size === 0) retryBudget.recordFirstSend(GROUP.name)
     if (this.isShedding(best.server)) {
       timers.after(ANSWER_MS).subscribe(() => {
         trackedCall.finish('none')
--- a/packages/router/src/__tests__/prefixLocations.spec.ts
+++ b/packages/router/src/__tests__/prefixLocations.spec.ts
@@ -51,7 +51,7 @@
     stores: [STORE],
     index: { table: { stores: [{ ...STORE, hall: 'h1', cacheTokens: 1, linkMbps: 25_000 }] } },
   } as unknown as FleetView
-  const places = findPrefixLocations({
+  const locations = findPrefixLocations({
     view,
     prompt: {
       model: 'm',
@@ -67,7 +67,7 @@
     prefixCache: memory,
     longPromptEngines: undefined,
   })
-  return { places, reader: servers[0] }
+  return { places: locations, reader: servers[0] }
 }
 
 const STORE_ID = formatStoreId(STORE.address, STORE.epoch, 1)
--- a/packages/router/src/direct/serverRanking.ts
+++ b/packages/router/src/direct/serverRanking.ts
@@ -168,7 +168,7 @@
   return isLongPromptEngine ? SHORT_AMONG_LONG_MS : 0
 }
 
-function hasOutdatedWeights({ view, now }: RankingInput, model: string, version: number): boolean {
+function isOutdated({ view, now }: RankingInput, model: string, version: number): boolean {
   const isOlder = version < (view.weights[model] ?? 0)
   return isOlder && now - (view.weightsSince[model] ?? -Infinity) > OUTDATED_AFTER_MS
 }
@@ -202,7 +202,7 @@
   let cost = expectedMs
   const recomputedTokens = Math.max(0, locations.countCachedAnywhere(version) - foundTokens)
   cost += recomputedTokens * RECOMPUTE_MS_PER_TOKEN
-  if (hasOutdatedWeights(input, prompt.model, version)) cost += OUTDATED_WEIGHTS_MS
+  if (isOutdated(input, prompt.model, version)) cost += OUTDATED_WEIGHTS_MS
   const isPreferred = server.id === locations.findPreferredEngine(version)
   if (isPreferred) {
     const uncachedSharedTokens = Math.max(0, countSharedTokens(prompt) - foundTokens)
