--- a/packages/control/src/registry/serverMonitor.ts
+++ b/packages/control/src/registry/serverMonitor.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader alone knows of servers: which are silent, and which hold weights so old that
- * nothing may begin on them. Looks at regular times and says when something changed.
+ * Monitors, at the leader, which servers are silent and which hold expired weights, on which no request may start.
+ * Checks periodically and emits when either set changes.
  */
 import type { BackendServerId, TimerService } from '@spoolgate/core'
 import { Subject, type Observable } from 'rxjs'
@@ -11,80 +11,80 @@
 export interface ServerMonitorOptions {
   readonly machine: ControlMachine
   readonly timers: TimerService
-  /** Ms since the last heartbeat of a server. */
-  readonly findSilenceMs: (id: BackendServerId) => number
-  /** Silence after which a server counts as silent, in ms. */
+  /** Returns the time since the last heartbeat of a server, in ms. */
+  readonly findHeartbeatAgeMs: (id: BackendServerId) => number
+  /** Time without a heartbeat after which a server counts as silent, in ms. */
   readonly silentAfterMs: number
-  /** Age of a newer version after which nothing may begin on an older one, in ms. */
+  /** Age of a newer weights version after which no request may start on an older one, in ms. */
   readonly weightsExpireMs: number
 }
 
-/** The watch; see {@link createServerMonitor}. */
+/** See {@link createServerMonitor}. */
 export interface ServerMonitor {
   listSilent(): readonly BackendServerId[]
   listExpired(): readonly BackendServerId[]
-  /** Emits when either list changed. */
+  /** Emits when either list changes. */
   readonly changes: Observable<void>
   close(): void
 }
 
-/** Time between two looks, in ms; small against the bounds on silence and on old weights. */
-const LOOK_PERIOD_MS = 100
-/** Versions of a model whose age is remembered; older ones have expired by then. */
-const MAX_NAMED = 32
+/** Interval between checks, in ms: small compared with the limits on silence and on the age of weights. */
+const CHECK_PERIOD_MS = 100
+/** Maximum number of versions tracked per model; older ones have expired by then. */
+const MAX_TRACKED_VERSIONS = 32
 
-interface NamedVersion {
+interface TrackedVersion {
   readonly version: number
-  /** When this instance learned of it, in ms of the monotonic clock. */
-  readonly at: number
+  /** When this instance learned of the version, in ms of the monotonic clock. */
+  readonly learnedAt: number
 }
 
-/** Creates the watch and starts to look. */
+/** Creates the monitor and starts its periodic check. */
 export function createServerMonitor(options: ServerMonitorOptions): ServerMonitor {
   const { machine, timers } = options
-  const named = new Map<string, NamedVersion[]>()
+  const versions = new Map<string, TrackedVersion[]>()
   const changes = new Subject<void>()
-  /** Both lists as of the last look. */
-  let seen = ' '
+  /** Both lists as of the last check, joined for comparison. */
+  let lastState = ' '
 
-  const recordNamed = () => {
+  const recordVersions = () => {
     for (const [model, version] of Object.entries(machine.weights.list())) {
-      const known = named.get(model) ?? []
+      const known = versions.get(model) ?? []
       if (known.some((entry) => entry.version === version)) continue
-      named.set(model, [...known, { version, at: timers.now() }].slice(-MAX_NAMED))
+      versions.set(model, [...known, { version, learnedAt: timers.now() }].slice(-MAX_TRACKED_VERSIONS))
     }
   }
   const isExpired = ({ weights }: RegisteredServer) =>
     weights.some(({ model, version }) => {
-      const newer = (named.get(model) ?? []).find((entry) => entry.version > version)
-      return newer !== undefined && timers.now() - newer.at > options.weightsExpireMs
+      const newer = (versions.get(model) ?? []).find((entry) => entry.version > version)
+      return newer !== undefined && timers.now() - newer.learnedAt > options.weightsExpireMs
     })
   const listSilent = () =>
     machine.servers
       .list()
-      .filter(({ id }) => options.findSilenceMs(id) > options.silentAfterMs)
+      .filter(({ id }) => options.findHeartbeatAgeMs(id) > options.silentAfterMs)
       .map(({ id }) => id)
   const listExpired = () =>
     machine.servers
       .list()
       .filter(isExpired)
       .map(({ id }) => id)
-  const look = () => {
-    recordNamed()
-    const found = `${listSilent().join()} ${listExpired().join()}`
-    if (found === seen) return
-    seen = found
+  const checkServers = () => {
+    recordVersions()
+    const state = `${listSilent().join()} ${listExpired().join()}`
+    if (state === lastState) return
+    lastState = state
     changes.next()
   }
-  const naming = machine.fleetChanges.subscribe(recordNamed)
-  const looking = timers.every(LOOK_PERIOD_MS).subscribe(look)
+  const fleetSubscription = machine.fleetChanges.subscribe(recordVersions)
+  const checkSubscription = timers.every(CHECK_PERIOD_MS).subscribe(checkServers)
   return {
     listSilent,
     listExpired,
     changes,
     close: () => {
-      naming.unsubscribe()
-      looking.unsubscribe()
+      fleetSubscription.unsubscribe()
+      checkSubscription.unsubscribe()
     },
   }
 }
