--- a/packages/control/src/__tests__/instanceSearch.spec.ts
+++ b/packages/control/src/__tests__/instanceSearch.spec.ts
@@ -10,13 +10,13 @@
 
 const STEP_MS = 10
 
-/** How an instance behaves towards one ask, which is the n-th that it gets. */
-type Behaviour = (ask: number) => { afterMs: number; fails?: unknown }
+/** Response of an instance to its n-th request. */
+type ResponsePlan = (ask: number) => { afterMs: number; failure?: unknown }
 
 const SILENCE = Infinity
 
-/** Instances whose behaviour is set, and a search among them. */
-function createSearch(instances: Record<string, Behaviour>) {
+/** Creates a search among simulated instances. */
+function createSearch(instances: Record<string, ResponsePlan>) {
   const timers = createManualTimerService()
   const stopping = new AbortController()
   const lines: string[] = []
@@ -27,11 +27,11 @@
     map.set(url, (map.get(url) ?? 0) + change)
     return map.get(url) as number
   }
-  const ask = (url: string, signal: AbortSignal) =>
+  const sendRequest = (url: string, signal: AbortSignal) =>
     new Promise<string>((resolve, reject) => {
       const number = count(asks, url, 1)
       mostOpen = Math.max(mostOpen, count(open, url, 1))
-      const { afterMs, fails } = instances[url](number)
+      const { afterMs, failure } = instances[url](number)
       const end = (finish: () => void) => {
         count(open, url, -1)
         finish()
@@ -44,12 +44,12 @@
       if (afterMs === SILENCE) return
       timers.after(afterMs).subscribe(() => {
         if (signal.aborted) return
-        end(() => (fails === undefined ? resolve(`answer ${number} of ${url}`) : reject(fails)))
+        end(() => (failure === undefined ? resolve(`answer ${number} of ${url}`) : reject(failure)))
       })
     })
   const search = createInstanceSearch({
     listInstances: () => Object.keys(instances),
-    send: ask,
+    send: sendRequest,
     timers,
     random: createRandomSource(1),
     logger: createLogger({ write: (line) => void lines.push(line) }),
@@ -83,11 +83,11 @@
 
 const refuse = (leaderUrl?: string) => ({
   afterMs: STEP_MS,
-  fails: new SpoolgateError('notLeader', 'ask the leader', { details: { leaderUrl } }),
+  failure: new SpoolgateError('notLeader', 'ask the leader', { details: { leaderUrl } }),
 })
 
-describe('the search for the leader', () => {
-  it('takes the answer of a leader that is slow, and asks it no second time meanwhile', async () => {
+describe('instance search', () => {
+  it('accepts the answer of a slow leader without sending it a second request', async () => {
     const scene = createSearch({
       slow: () => ({ afterMs: 900 }),
       other: () => refuse('slow'),
@@ -98,12 +98,12 @@
     expect(scene.asks.get('slow')).to.equal(1)
   })
 
-  it('takes the late answer of an ask that began as a poll', async () => {
+  it('accepts the late answer to a poll that timed out', async () => {
     const scene = createSearch({
       slow: () => ({ afterMs: 700 }),
       other: () => refuse('slow'),
     })
-    let polled: unknown = 'nothing yet'
+    let polled: unknown = 'pending'
     const polling = scene.search.requestFrom('slow', 500).then((answer) => {
       polled = answer
       return scene.search.run()
@@ -114,7 +114,7 @@
     expect(scene.found()?.answer).to.equal('answer 1 of slow')
   })
 
-  it('asks a leader again whose connection fell silent, within 2 s', async () => {
+  it('sends a second request within 2 s to a leader whose connection went silent', async () => {
     const scene = createSearch({
       leader: (ask) => ({ afterMs: ask === 1 ? SILENCE : STEP_MS }),
       other: () => refuse('leader'),
@@ -124,7 +124,7 @@
     expect(scene.found()?.answer).to.equal('answer 2 of leader')
   })
 
-  it('is not held up by instances that are out of reach', async () => {
+  it('is not delayed by unreachable instances', async () => {
     const scene = createSearch({
       gone1: () => ({ afterMs: SILENCE }),
       gone2: () => ({ afterMs: SILENCE }),
@@ -135,7 +135,7 @@
     expect(scene.found()?.url).to.equal('leader')
   })
 
-  it('keeps three asks of an instance open at most, and says why there is no answer', async () => {
+  it('keeps at most three requests open per instance, and logs why there is no answer', async () => {
     const scene = createSearch({ gone: () => ({ afterMs: SILENCE }), other: () => refuse() })
     void scene.search.run().then(scene.recordFound)
     await scene.run(10_000)
@@ -146,7 +146,7 @@
     await scene.finish()
   })
 
-  it('goes to whom an instance names before it asks the others', async () => {
+  it('contacts the leader named by an instance before any others', async () => {
     const scene = createSearch({
       a: () => refuse('leader'),
       b: () => refuse('leader'),
--- a/packages/control/src/__tests__/lateHeartbeat.spec.ts
+++ b/packages/control/src/__tests__/lateHeartbeat.spec.ts
@@ -13,7 +13,7 @@
 
 const SILENT_AFTER_MS = 2_600
 
-/** A leader that receives heartbeats of incarnations at one address. */
+/** Creates a leader that receives heartbeats, and counts its proposals to the replicated log. */
 function createLeader() {
   const timers = createManualTimerService()
   const machine = createControlMachine()
@@ -56,15 +56,15 @@
   }
 }
 
-describe('heartbeats of incarnations at one address', () => {
-  it('let a new incarnation take the address at once', async () => {
+describe('heartbeats of several incarnations at one address', () => {
+  it('let a new incarnation take over the address immediately', async () => {
     const { sendHeartbeat, list } = createLeader()
     await sendHeartbeat('old')
     await sendHeartbeat('new')
     expect(list()).to.deep.equal(['new'])
   })
 
-  it('do not take it back when they were held up and arrive late', async () => {
+  it('do not take the address back when they arrive late', async () => {
     const { timers, sendHeartbeat, list } = createLeader()
     await sendHeartbeat('old')
     await sendHeartbeat('new')
@@ -73,7 +73,7 @@
     expect(list()).to.deep.equal(['new'])
   })
 
-  it('take it back once the other one has fallen silent', async () => {
+  it('take the address back once the other incarnation is silent', async () => {
     const { timers, sendHeartbeat, list } = createLeader()
     await sendHeartbeat('old')
     await sendHeartbeat('new')
@@ -83,8 +83,8 @@
   })
 })
 
-describe('a heartbeat that says nothing new', () => {
-  it('makes no entry in the log, whatever came before it', async () => {
+describe('an unchanged heartbeat', () => {
+  it('adds no entry to the replicated log', async () => {
     const { timers, proposed, sendHeartbeat } = createLeader()
     await sendHeartbeat('one')
     await sendHeartbeat('two', { address: 'a:2' })
--- a/packages/control/src/__tests__/loadAggregator.spec.ts
+++ b/packages/control/src/__tests__/loadAggregator.spec.ts
@@ -9,8 +9,8 @@
   return { timers, aggregator: createLoadAggregator({ timers, routerLifeMs: ROUTER_LIFE_MS }) }
 }
 
-describe('the sum of what routers have in progress', () => {
-  it('leaves out the router that asks, and servers without work', () => {
+describe('load aggregator', () => {
+  it('excludes the given router, and servers without load', () => {
     const { aggregator } = createAggregator()
     aggregator.record('r1', {
       e1: { calls: 2, promptTokens: 100 },
@@ -24,7 +24,7 @@
     })
   })
 
-  it('counts the routers that a server has asked to back off', () => {
+  it('counts the routers asked by a server to back off', () => {
     const { aggregator } = createAggregator()
     const backingOff = { e1: { calls: 0, promptTokens: 0, backoffs: 1 } }
     aggregator.record('r1', backingOff)
@@ -39,7 +39,7 @@
     expect(aggregator.sumExcept('r3')).to.deep.equal({})
   })
 
-  it('replaces what a router reported before', () => {
+  it('replaces the previous report of a router', () => {
     const { aggregator } = createAggregator()
     aggregator.record('r1', { e1: { calls: 2, promptTokens: 100 } })
     aggregator.record('r1', { e2: { calls: 1, promptTokens: 9 } })
@@ -47,7 +47,7 @@
     expect(aggregator.countRouters()).to.equal(1)
   })
 
-  it('forgets routers that do not poll, and no others', () => {
+  it('removes only routers that stopped polling', () => {
     const { timers, aggregator } = createAggregator()
     aggregator.record('gone', { e1: { calls: 2, promptTokens: 100 } })
     aggregator.record('here', { e1: { calls: 1, promptTokens: 7 } })
--- a/packages/control/src/__tests__/quotaBuckets.spec.ts
+++ b/packages/control/src/__tests__/quotaBuckets.spec.ts
@@ -11,8 +11,8 @@
 
 const QUOTA: TeamQuota = { unit: 'tokens', perSecond: 1_000, burst: 1_000, uncountedTokens: 1 }
 const TOLERANCE = { ratio: 0.1, slack: 0, windowMs: 8_000 }
-/** Part of the tolerance that a new leader presumes, and of that for use that is not reported yet. */
-const PRESUMED = 0.8 * 0.1 * 9_000
+/** Maximum level at the start of a term: the fraction of the tolerance that a new leader assumes to be unused. */
+const MAX_INITIAL_LEVEL = 0.8 * 0.1 * 9_000
 
 const KEY = formatQuotaKey(toTeamId('t'), 'tokens')
 
@@ -25,23 +25,23 @@
   })
   buckets.reset(1)
   let sequence = 0
-  const buildReport = (use: Partial<CreditUse> = {}, rest: Partial<QuotaReport> = {}) => {
+  const buildReport = (use: Partial<CreditUse> = {}, overrides: Partial<QuotaReport> = {}) => {
     sequence += 1
     const none = { key: KEY, seen: 0, held: 0, returned: 0, prefetch: 0, waiting: [] }
-    return { router: 'r1', life: 'a', sequence, term: 1, uses: [{ ...none, ...use }], ...rest }
+    return { router: 'r1', life: 'a', sequence, term: 1, uses: [{ ...none, ...use }], ...overrides }
   }
   const findLevel = () => buckets.list()[0]?.level
   return { timers, buckets, buildReport, findLevel, quotas }
 }
 
-describe('the leader’s buckets of the teams’ limits', () => {
-  it('presume of a new term only a part of the tolerance', () => {
+describe('quota buckets', () => {
+  it('start a new term with only a fraction of the tolerance', () => {
     const { buckets, buildReport, findLevel } = createLeader()
     buckets.applyReport(buildReport())
-    expect(findLevel()).to.be.at.most(PRESUMED)
+    expect(findLevel()).to.be.at.most(MAX_INITIAL_LEVEL)
   })
 
-  it('do not grant twice what a doubled or overtaken report asks', () => {
+  it('do not grant twice for a duplicated or reordered report', () => {
     const { buckets, buildReport } = createLeader()
     const report = buildReport({ waiting: [50] })
     const [{ granted }] = buckets.applyReport(report).grants
@@ -51,7 +51,7 @@
     expect(buckets.list()[0].grantedByRouter).to.deep.equal({ r1: 50 })
   })
 
-  it('leave silent routers their even share of the rate', () => {
+  it('reserve an equal share of the rate for silent routers', () => {
     const { timers, buckets, buildReport, findLevel } = createLeader()
     const use = { held: -5_000 }
     buckets.applyReport(buildReport({}, { router: 'r2', life: 'b' }))
@@ -64,7 +64,7 @@
     expect(findLevel() - before).to.be.closeTo(QUOTA.perSecond / 2, 1)
   })
 
-  it('take use beyond the credits off before anybody gets more', () => {
+  it('deduct use beyond the credits before granting any more', () => {
     const { buckets, buildReport, findLevel } = createLeader()
     buckets.applyReport(buildReport({ held: -2_000 }))
     const { grants, scarce } = buckets.applyReport(
@@ -76,7 +76,7 @@
     expect(scarce).to.deep.equal([KEY])
   })
 
-  it('count credits of a router that started again as used', () => {
+  it('count the credits of a restarted router as used', () => {
     const { timers, buckets, buildReport, findLevel } = createLeader()
     timers.advance(2_000)
     buckets.applyReport(buildReport({ waiting: [300] }))
@@ -86,19 +86,19 @@
     expect(buckets.list()[0].held).to.equal(0)
   })
 
-  it('follow a limit that is lowered, and forget one that is withdrawn', () => {
+  it('apply a lowered limit, and remove a withdrawn one', () => {
     const { timers, buckets, buildReport, findLevel, quotas } = createLeader()
     buckets.applyReport(buildReport())
     timers.advance(10_000)
     quotas[KEY] = { ...QUOTA, perSecond: 100, burst: 100 }
     buckets.applyReport(buildReport())
-    expect(findLevel()).to.be.at.most(100 + PRESUMED)
+    expect(findLevel()).to.be.at.most(100 + MAX_INITIAL_LEVEL)
     quotas[KEY] = undefined
     buckets.applyReport(buildReport())
     expect(buckets.list()).to.deep.equal([])
   })
 
-  it('count what routers hold of a limit that was withdrawn and came back', () => {
+  it('count credits still held by routers when a withdrawn limit returns', () => {
     const { timers, buckets, buildReport, findLevel, quotas } = createLeader()
     timers.advance(10_000)
     buckets.applyReport(buildReport({ waiting: [700] }))
@@ -108,6 +108,6 @@
     buckets.applyReport(buildReport({}, { router: 'r2', life: 'b' }))
     expect(buckets.list()[0].held).to.equal(700)
     timers.advance(3_000)
-    expect(findLevel()).to.be.at.most(QUOTA.burst - 700 + PRESUMED)
+    expect(findLevel()).to.be.at.most(QUOTA.burst - 700 + MAX_INITIAL_LEVEL)
   })
 })
--- a/packages/control/src/__tests__/rateLimitAllocator.spec.ts
+++ b/packages/control/src/__tests__/rateLimitAllocator.spec.ts
@@ -15,7 +15,7 @@
   })
   const report = (perSecond: number | null, ageMs = 0) =>
     allocator.record([{ server: 's1', perSecond, ageMs }])
-  /** Parts of the first server by router, without those that have none. */
+  /** Maps routers to their shares of the first server, without routers that have none. */
   const listParts = () => {
     const all = known.routers.map((router) => [router, allocator.buildUpdate(router)] as const)
     return new Map(
@@ -25,12 +25,12 @@
       }),
     )
   }
-  return { timers, known, parts: allocator, report, listParts }
+  return { timers, known, allocator, report, listParts }
 }
 
-describe('the division of a rate limit among routers', () => {
+describe('rate limit allocator', () => {
   for (const perSecond of [0, 0.2, 1.7, 4, 2_000]) {
-    it(`assigns the whole of ${perSecond} a second, and no more`, () => {
+    it(`assigns exactly the whole rate of ${perSecond} per second`, () => {
       const { timers, report, listParts } = createAllocator()
       timers.advance(SETTLED_MS)
       report(perSecond)
@@ -40,17 +40,17 @@
     })
   }
 
-  it('assigns nothing before routers have polled a new leader', () => {
-    const { timers, parts, report } = createAllocator()
+  it('assigns no shares until routers have polled a new leader', () => {
+    const { timers, allocator, report } = createAllocator()
     report(2)
-    expect(parts.buildUpdate('r1').hasParts).to.equal(false)
-    const before = parts.revision()
+    expect(allocator.buildUpdate('r1').hasParts).to.equal(false)
+    const before = allocator.revision()
     timers.advance(SETTLED_MS)
-    expect(parts.revision()).to.be.above(before)
-    expect(parts.buildUpdate('r1').hasParts).to.equal(true)
+    expect(allocator.revision()).to.be.above(before)
+    expect(allocator.buildUpdate('r1').hasParts).to.equal(true)
   })
 
-  it('moves only the parts of routers that leave', () => {
+  it('reassigns only the shares of routers that leave', () => {
     const { timers, known, report, listParts } = createAllocator()
     timers.advance(SETTLED_MS)
     report(3)
@@ -63,7 +63,7 @@
     expect([...before.keys()].filter((router) => after.has(router))).to.have.length(before.size - 1)
   })
 
-  it('goes to other routers where nobody uses it', () => {
+  it('reassigns an unused rate to other routers', () => {
     const { timers, report, listParts } = createAllocator()
     timers.advance(SETTLED_MS)
     report(0.5)
@@ -75,7 +75,7 @@
     expect(chosen.size).to.be.above(4)
   })
 
-  it('stays with the routers that use it', () => {
+  it('keeps the shares of routers that use them', () => {
     const { timers, report, listParts } = createAllocator()
     timers.advance(SETTLED_MS)
     report(0.5)
@@ -87,30 +87,30 @@
     expect([...listParts().keys()]).to.deep.equal(before)
   })
 
-  it('takes the newest report, in whatever order they arrive', () => {
-    const { timers, parts, report } = createAllocator()
+  it('applies the newest report, regardless of the order of arrival', () => {
+    const { timers, allocator, report } = createAllocator()
     timers.advance(SETTLED_MS)
     report(null, 100)
     report(2, 500)
-    expect(parts.buildUpdate('r1').servers).to.deep.equal([
+    expect(allocator.buildUpdate('r1').servers).to.deep.equal([
       { server: 's1', perSecond: null, ageMs: 100 },
     ])
     report(3, 50)
-    expect(parts.buildUpdate('r1').servers[0]).to.include({ perSecond: 3, ageMs: 50 })
+    expect(allocator.buildUpdate('r1').servers[0]).to.include({ perSecond: 3, ageMs: 50 })
   })
 
-  it('forgets servers that are gone, and limits that were withdrawn long ago', () => {
-    const { timers, known, parts, report } = createAllocator()
+  it('removes limits of servers that left, and limits withdrawn more than 60 s ago', () => {
+    const { timers, known, allocator, report } = createAllocator()
     timers.advance(SETTLED_MS)
     report(2)
     known.servers.delete('s1')
     timers.advance(1_000)
-    expect(parts.buildUpdate('r1').servers).to.have.length(0)
+    expect(allocator.buildUpdate('r1').servers).to.have.length(0)
     known.servers.add('s1')
     report(null)
     timers.advance(59_000)
-    expect(parts.buildUpdate('r1').servers).to.have.length(1)
+    expect(allocator.buildUpdate('r1').servers).to.have.length(1)
     timers.advance(2_000)
-    expect(parts.buildUpdate('r1').servers).to.have.length(0)
+    expect(allocator.buildUpdate('r1').servers).to.have.length(0)
   })
 })
--- a/packages/control/src/__tests__/registryState.spec.ts
+++ b/packages/control/src/__tests__/registryState.spec.ts
@@ -26,7 +26,7 @@
 }
 
 describe('registered servers', () => {
-  it('never go back from draining, nor to older weights, by a heartbeat that comes late', () => {
+  it('do not return from draining or to older weights on a delayed heartbeat', () => {
     const servers = createServerState()
     servers.observe({ kind: 'server.observe', server: buildServer() })
     const newer = buildServer({ phase: 'draining', weights: [{ model: 'm', version: 3 }] })
@@ -35,7 +35,7 @@
     expect(servers.find(ID)).to.deep.equal(newer)
   })
 
-  it('stay gone once they left, also after a snapshot', () => {
+  it('stay removed after they left, also after restoring a snapshot', () => {
     const servers = createServerState()
     servers.observe({ kind: 'server.observe', server: buildServer() })
     servers.retire({ kind: 'server.retire', id: ID, phase: 'gone' })
@@ -46,7 +46,7 @@
     expect(restored.list()).to.deep.equal([])
   })
 
-  it('give way to another one at their address, and take it back by a later heartbeat', () => {
+  it('are replaced by another server at their address, and take it back with a later heartbeat', () => {
     const servers = createServerState()
     servers.observe({ kind: 'server.observe', server: buildServer() })
     const next = buildServer(buildServerIdentity(toServerName('i-2'), undefined))
@@ -56,7 +56,7 @@
     expect(servers.list()).to.deep.equal([buildServer()])
   })
 
-  it('may leave before they were ever seen', () => {
+  it('may leave before they were ever observed', () => {
     const servers = createServerState()
     servers.retire({ kind: 'server.retire', id: ID, phase: 'gone' })
     servers.observe({ kind: 'server.observe', server: buildServer() })
@@ -64,11 +64,11 @@
   })
 })
 
-describe('the routing table held', () => {
+describe('routing table state', () => {
   const put = (version: number, document: string) =>
     ({ kind: 'table.put', version, document }) as const
 
-  it('is the highest version, and the same version with other content changes nothing', () => {
+  it('keeps the highest version, and ignores the same version with different content', () => {
     const table = createTableState()
     expect(table.put(put(4, 'four')).isNewer).to.equal(true)
     expect(table.put(put(3, 'three'))).to.deep.equal({ isNewer: false, version: 4 })
@@ -76,7 +76,7 @@
     expect(table.current()).to.deep.equal({ version: 4, document: 'four' })
   })
 
-  it('survives a snapshot unchanged', () => {
+  it('restores the same document from a snapshot', () => {
     const table = createTableState()
     table.put(put(9, '{"a": 1 }'))
     const restored = createTableState()
@@ -85,8 +85,8 @@
   })
 })
 
-describe('wanted weights', () => {
-  it('only rise', () => {
+describe('wanted weights versions', () => {
+  it('only increase', () => {
     const weights = createWeightsState()
     weights.name({ kind: 'weights.name', model: 'm', version: 5 })
     const result = weights.name({ kind: 'weights.name', model: 'm', version: 2 })
@@ -95,8 +95,8 @@
   })
 })
 
-describe('the log of placements', () => {
-  it('reports to a router what others placed, once, and not its own', () => {
+describe('placement log', () => {
+  it('lists the placements of other routers once, without the router’s own', () => {
     const log = createPlacementLog()
     log.add('a', [['s', 1, 11, 100]])
     log.add('b', [['s', 1, 22, 200]])
@@ -104,7 +104,7 @@
     expect(log.listSince('a', log.last())).to.deep.equal([])
   })
 
-  it('keeps the newest when there are too many', () => {
+  it('keeps only the newest entries above its capacity', () => {
     const log = createPlacementLog()
     for (let turn = 0; turn < 1_500; turn += 1) log.add('a', [['s', 1, turn, 1]])
     const listed = log.listSince('b', 0)
--- a/packages/control/src/__tests__/serverChanges.spec.ts
+++ b/packages/control/src/__tests__/serverChanges.spec.ts
@@ -19,7 +19,7 @@
   }
 }
 
-describe('changes of backend servers', () => {
+describe('server changes', () => {
   const createFleet = () => {
     const state = createServerState()
     const observe = (server: RegisteredServer) => state.observe({ kind: 'server.observe', server })
@@ -28,7 +28,7 @@
   }
   const listIds = (servers: readonly RegisteredServer[]) => servers.map(({ id }) => id as string)
 
-  it('are reported since the revision that a router holds, those that left among them', () => {
+  it('include changed and removed servers since the given revision', () => {
     const { state, observe, changes } = createFleet()
     observe(buildServer('b', 2))
     expect(changes.record(1)).to.equal(true)
@@ -42,14 +42,14 @@
     expect([...since1.changed, ...since1.gone]).to.deep.equal(['c'])
   })
 
-  it('are reported whole to a router that comes from elsewhere', () => {
+  it('include all servers when the router holds no revision', () => {
     const { changes } = createFleet()
     const all = changes.listSince(undefined)
     expect(all.since).to.equal(null)
     expect(listIds(all.changed)).to.deep.equal(['a', 'b', 'c'])
   })
 
-  it('are reported whole to a router whose last report came before more left than are remembered', () => {
+  it('include all servers when more removals followed the revision than are remembered', () => {
     const { state, observe, changes } = createFleet()
     for (let index = 0; index < 2_100; index += 1) {
       const server = { ...buildServer(`x${index}`), address: '10.0.0.9:1' }
--- a/packages/control/src/__tests__/serverSignals.spec.ts
+++ b/packages/control/src/__tests__/serverSignals.spec.ts
@@ -28,7 +28,7 @@
   }
 }
 
-describe('the words of backend servers', () => {
+describe('heartbeats and leave messages of backend servers', () => {
   function createLeader() {
     const timers = createManualTimerService()
     const servers = createServerState()
@@ -51,7 +51,7 @@
     return { timers, servers, sendHeartbeat, sendLeave, list }
   }
 
-  it('of an earlier start count no more, at whatever address and through whatever leader', () => {
+  it('are ignored when they belong to an earlier start, at any address and after a leader change', () => {
     const { servers, sendHeartbeat, list } = createLeader()
     sendHeartbeat(buildServer('i', FIRST))
     sendHeartbeat(buildServer('i', SECOND, { address: 'a:2' }))
@@ -64,7 +64,7 @@
     expect(next.list()).to.have.length(1)
   })
 
-  it('stay out when the later start has left as well', () => {
+  it('of an earlier start are still ignored after the later start has left', () => {
     const { sendHeartbeat, sendLeave, list } = createLeader()
     sendHeartbeat(buildServer('i', FIRST))
     sendHeartbeat(buildServer('i', SECOND))
@@ -75,7 +75,7 @@
     expect(sendHeartbeat(buildServer('i', SECOND + 1))).to.equal('ready')
   })
 
-  it('count in the order of their numbers within a start, and anew with the next', () => {
+  it('are accepted in sequence order within a start, and the sequence restarts with the next start', () => {
     const { sendHeartbeat, list } = createLeader()
     sendHeartbeat(buildServer('i', FIRST, { address: 'a:2' }), 8)
     expect(sendHeartbeat(buildServer('i', FIRST, { address: 'a:1' }), 7)).to.equal('late')
@@ -84,14 +84,14 @@
     expect(list()).to.deep.equal(['i@9000 a:3'])
   })
 
-  it('that name no start change nothing of a server that named one', () => {
+  it('without a start time do not affect a server that sent one', () => {
     const { sendHeartbeat, list } = createLeader()
     sendHeartbeat(buildServer('i', FIRST))
     expect(sendHeartbeat(buildServer('i', undefined, { address: 'a:7' }))).to.equal('late')
     expect(list()).to.deep.equal(['i@1000 a:1'])
   })
 
-  it('are believed where no start is ever named', () => {
+  it('are accepted from a server that never sends a start time', () => {
     const { sendHeartbeat, sendLeave, list } = createLeader()
     sendHeartbeat(buildServer('i', undefined), 8)
     expect(sendHeartbeat(buildServer('i', undefined, { address: 'a:2' }), 1)).to.equal('ready')
@@ -99,7 +99,7 @@
     expect(list()).to.deep.equal([])
   })
 
-  it('of a leave that names no start concern the last one, unless that is quite new', () => {
+  it('that leave without a start time apply to the current start, unless it is recent', () => {
     const { timers, sendHeartbeat, sendLeave, list } = createLeader()
     sendHeartbeat(buildServer('i', FIRST))
     sendLeave('i')
@@ -109,7 +109,7 @@
     expect(list()).to.have.length(0)
   })
 
-  it('let an address go to another server, which may start again there', () => {
+  it('let another server take over an address, and restart there', () => {
     const { sendHeartbeat, list } = createLeader()
     sendHeartbeat(buildServer('i', FIRST))
     sendHeartbeat(buildServer('j', FIRST))
--- a/packages/control/src/__tests__/weightsRollout.spec.ts
+++ b/packages/control/src/__tests__/weightsRollout.spec.ts
@@ -18,23 +18,23 @@
 const STEP_MS = 10
 const ORDER_LEASE_MS = 3_000
 
-/** One engine as the rollout sees it. */
+/** Simulated engine. */
 interface TestEngine extends EngineReport {
   version: number
   waiting: number
   running: number
 }
 
-/** A leader whose engines are objects and whose time moves by hand. */
+/** A leader with simulated engines and a manual clock. */
 class TestLeader {
   readonly timers: ManualTimerService = createManualTimerService()
   readonly machine: ControlMachine = createControlMachine()
   readonly engines = new Map<BackendServerId, TestEngine>()
   readonly orders: (LoadOrder & { server: BackendServerId; at: number; mark?: LoadMark })[] = []
-  /** Engines that carry orders out and do not answer them. */
-  readonly silent = new Set<BackendServerId>()
+  /** Engines that execute orders without a response. */
+  readonly unresponsive = new Set<BackendServerId>()
   status = { role: 'leader', term: 1, hasLease: true } as RaftStatus
-  loadedAtOnce = 0
+  maxLoading = 0
   readonly rollout: WeightsRollout
 
   constructor() {
@@ -51,7 +51,7 @@
           const mark = this.machine.loads.find(name)
           this.orders.push({ ...order, server: id, at: this.timers.now(), mark })
           ;(this.engines.get(id) as TestEngine).version = order.version
-          return this.silent.has(id) ? 'unknown' : 'taken'
+          return this.unresponsive.has(id) ? 'unknown' : 'taken'
         },
       },
       instance: 'control-1',
@@ -89,12 +89,12 @@
     for (let spent = 0; spent < duration; spent += STEP_MS) {
       this.timers.advance(STEP_MS)
       await new Promise((resolve) => setImmediate(resolve))
-      this.loadedAtOnce = Math.max(this.loadedAtOnce, this.rollout.listLoading().length)
+      this.maxLoading = Math.max(this.maxLoading, this.rollout.listLoading().length)
     }
   }
 }
 
-describe('the rollout of weights', () => {
+describe('weights rollout', () => {
   let leader: TestLeader
 
   beforeEach(() => {
@@ -106,7 +106,7 @@
     await closing
   })
 
-  it('brings the oldest weights up first, a part of the engines at a time, by rising numbers', async () => {
+  it('loads the oldest weights first, on a fraction of the engines at a time, with increasing fencing tokens', async () => {
     for (const [index, name] of ['a', 'b', 'c', 'd', 'e', 'f', 'g'].entries()) {
       leader.addEngine(name, index === 4 ? 1 : 2)
     }
@@ -114,14 +114,14 @@
     await leader.run(5_000)
     expect(leader.orders[0].server).to.equal('e')
     expect(leader.orders).to.have.length(7)
-    expect(leader.loadedAtOnce).to.equal(2)
+    expect(leader.maxLoading).to.equal(2)
     const numbers = leader.orders.map(({ fencing }) => fencing)
     expect(numbers).to.deep.equal([...numbers].sort((a, b) => a - b))
     expect(new Set(numbers).size).to.equal(7)
     expect(leader.orders.every(({ expectedOrders }) => expectedOrders === 7)).to.equal(true)
   })
 
-  it('skips a version that was overtaken', async () => {
+  it('skips a superseded version', async () => {
     leader.addEngine('a')
     leader.nameWeights(2)
     leader.nameWeights(5)
@@ -129,7 +129,7 @@
     expect(leader.orders.map(({ version }) => version)).to.deep.equal([5])
   })
 
-  it('lets an engine become idle, for longer the more would go on under the new weights', async () => {
+  it('waits longer for an engine to become idle the more requests are still running', async () => {
     const few = leader.addEngine('few', 1, 2)
     const many = leader.addEngine('many', 1, 9)
     leader.nameWeights(2)
@@ -145,7 +145,7 @@
     expect(findOrder('many')).to.include({ isKeepingRuns: false })
   })
 
-  it('waits for requests that the engine has not begun, and not for ever', async () => {
+  it('waits for queued requests, but only for a limited time', async () => {
     const engine = leader.addEngine('a', 1, 1)
     engine.waiting = 1
     leader.nameWeights(2)
@@ -155,11 +155,11 @@
     expect(leader.orders).to.have.length(1)
   })
 
-  /** Records what an earlier leader did with an engine. */
+  /** Records a load mark of a previous leader. */
   const markLoad = (kind: 'load.begin' | 'load.end', name: string) =>
     leader.machine.apply({ kind, server: toBackendServerId(name) }, 1)
 
-  it('waits out the orders of an earlier leader, where that may have given any', async () => {
+  it('waits for the order lease of a previous leader only at engines that it may have sent orders to', async () => {
     markLoad('load.begin', 'open')
     markLoad('load.begin', 'endedEarly')
     markLoad('load.end', 'endedEarly')
@@ -176,15 +176,15 @@
       (leader.orders.find(({ server }) => server === name)?.at ?? Infinity) - startedAt
     expect(findOrderAt('untouched')).to.be.below(500)
     expect(findOrderAt('endedEarly')).to.be.below(1_000)
-    // Its last order may have come just before the mark, 1,000 ms before this leadership.
+    // Its last order may have been sent just before the mark, 1,000 ms before this leadership.
     expect(findOrderAt('endedLate')).to.be.within(ORDER_LEASE_MS - 1_000, ORDER_LEASE_MS)
     expect(findOrderAt('open')).to.be.within(ORDER_LEASE_MS + 100, ORDER_LEASE_MS + 1_500)
   })
 
-  it('notes a load before its first order, and its end unless an order was not answered', async () => {
+  it('records a load before its first order, and its end unless an order got no response', async () => {
     leader.addEngine('answered')
     leader.addEngine('silent')
-    leader.silent.add(toBackendServerId('silent'))
+    leader.unresponsive.add(toBackendServerId('silent'))
     leader.nameWeights(2)
     await leader.run(3_000)
     expect(leader.orders.map(({ mark }) => mark)).to.deep.equal(['open', 'open'])
@@ -192,7 +192,7 @@
     expect(leader.machine.loads.find(toServerName('silent'))).to.equal('open')
   })
 
-  it('orders nothing without the lease', async () => {
+  it('sends no orders without the leader lease', async () => {
     leader.status = { ...leader.status, hasLease: false }
     leader.addEngine('a')
     leader.nameWeights(2)
@@ -201,11 +201,11 @@
   })
 })
 
-describe('the watch over servers', () => {
-  it('names servers whose weights are too old, one that comes late included', () => {
+describe('server monitor', () => {
+  it('lists servers with expired weights, including one that registers late', () => {
     const timers = createManualTimerService()
     const machine = createControlMachine()
-    const watch = createServerMonitor({
+    const monitor = createServerMonitor({
       machine,
       timers,
       findHeartbeatAgeMs: () => 0,
@@ -232,11 +232,11 @@
     observe('new', 2)
     machine.apply({ kind: 'weights.name', model: 'm', version: 2 }, 2)
     timers.advance(6_900)
-    expect(watch.listExpired()).to.deep.equal([])
+    expect(monitor.listExpired()).to.deep.equal([])
     timers.advance(200)
-    expect(watch.listExpired()).to.deep.equal(['old'])
+    expect(monitor.listExpired()).to.deep.equal(['old'])
     observe('late', 1)
-    expect(watch.listExpired()).to.deep.equal(['old', 'late'])
-    watch.close()
+    expect(monitor.listExpired()).to.deep.equal(['old', 'late'])
+    monitor.close()
   })
 })
--- a/packages/control/src/registry/fleetOperations.ts
+++ b/packages/control/src/registry/fleetOperations.ts
@@ -1,6 +1,6 @@
 /**
- * What operators and backend servers may ask of control in deployments where backend servers
- * register themselves. Any instance takes a request; the leader carries it out.
+ * Operations that operators and backend servers request from control in deployments where backend servers register
+ * themselves. Any instance accepts a request and forwards it to the leader, which runs it.
  */
 import {
   SpoolgateError,
@@ -26,39 +26,39 @@
 import { createTablePuts } from './tablePuts.js'
 import type { NameWeights, NameWeightsResult } from '../state/weightsState.js'
 
-/** Path under which instances hand operations to the leader. */
+/** Path prefix under which instances forward operations to the leader. */
 export const OPERATION_PATH = '/fleet'
 
-/** What a server says of itself. */
+/** Heartbeat of a backend server. */
 export interface ServerHeartbeat {
   readonly server: RegisteredServer
-  /** Number of the heartbeat, which rises with each of one start; undefined where there is none. */
+  /** Sequence number of the heartbeat within one start; undefined if the server sends none. */
   readonly count?: number
 }
 
-/** Says that a server has left. */
+/** Leave message of a backend server. */
 export interface ServerLeave {
   readonly name: ServerName
-  /** Start that has left; undefined where the server does not name it. */
+  /** Start time of the incarnation that leaves; undefined if the server does not send it. */
   readonly startedAt?: number
 }
 
-/** Asks for the newest table. */
+/** Request for the newest routing table. */
 export interface ReadTable {
-  /** Version that the sender holds; -1 for none. */
+  /** Version held by the sender; -1 for none. */
   readonly heldVersion: number
 }
 
-/** Answers {@link ReadTable}. */
+/** Reply to {@link ReadTable}. */
 export interface NewestTable {
   readonly version: number
-  /** The whole table, packed; present when the sender holds another version. */
+  /** The complete table, packed; present if the sender holds another version. */
   readonly whole?: TableUpdate
 }
 
-/** The operations by name, each with what it takes and gives. */
+/** Operations by name, each with its input and output. */
 export interface FleetOperations {
-  /** Takes the whole table, packed. */
+  /** Stores a complete table, packed. */
   putTable: { input: { readonly whole: TableUpdate }; output: PutTableResult }
   readTable: { input: ReadTable; output: NewestTable }
   nameWeights: { input: Omit<NameWeights, 'kind'>; output: NameWeightsResult }
@@ -76,32 +76,32 @@
   readonly client: HttpClient
   readonly timers: TimerService
   readonly logger: Logger
-  /** Silence after which a backend server counts as silent, in ms. */
+  /** Time without a heartbeat after which a backend server counts as silent, in ms. */
   readonly silentAfterMs: number
-  /** Whether a group is in the routing table, as far as there is one. */
+  /** Whether the routing table, if there is one, contains a group. */
   readonly isKnownGroup: (name: string) => boolean
   readonly rejectedInputs: RejectedInputs
 }
 
-/** Runs operations; see {@link createFleetOperationRunner}. */
+/** Runs fleet operations; see {@link createFleetOperationRunner}. */
 export interface FleetOperationRunner {
   /**
-   * Runs an operation at the leader, wherever it is.
-   * @throws SpoolgateError `controlUnavailable` when it is not known whether it was carried out.
+   * Runs an operation at the leader, locally or on another instance.
+   * @throws SpoolgateError `controlUnavailable` when it is unknown whether the operation was executed.
    */
   run<Name extends FleetOperationName>(
     name: Name,
     input: FleetOperations[Name]['input'],
   ): Promise<FleetOperations[Name]['output']>
-  /** Runs an operation here; for the leader only. */
+  /** Runs an operation on this instance, which must be the leader. */
   runLocally(name: string, input: unknown): Promise<unknown>
-  /** Ms since this leader last received a heartbeat of a server, or since it leads. */
+  /** Returns the time since this leader received a server's last heartbeat, or since it became leader, in ms. */
   findHeartbeatAgeMs(id: BackendServerId): number
 }
 
-/** Incarnations whose last heartbeat is remembered: several times those of a large fleet. */
+/** Maximum number of incarnations with a tracked heartbeat: several times the size of a large deployment. */
 const MAX_TRACKED_SERVERS = 5_000
-/** Longest wait for the leader, in ms: callers turn to another instance after a second. */
+/** Timeout of requests to the leader, in ms: callers switch to another instance after one second. */
 const LEADER_TIMEOUT_MS = 850
 
 type Handlers = {
@@ -110,7 +110,7 @@
   ) => Promise<FleetOperations[Name]['output']>
 }
 
-/** Creates the operator of one instance. */
+/** Creates the operation runner of one instance. */
 export function createFleetOperationRunner(
   options: FleetOperationRunnerOptions,
 ): FleetOperationRunner {
@@ -118,7 +118,7 @@
   const receivedAt = new LRUCache<BackendServerId, number>({ max: MAX_TRACKED_SERVERS })
   let leadingTerm: number | undefined
   let leadingSince = timers.now()
-  /** Heartbeats went to the leader before, so silence counts from the start of this leadership. */
+  /** Heartbeats went to the previous leader until then, so silence is measured from the start of this leadership. */
   const findLeadingSince = () => {
     const { role, term } = member.status()
     const current = role === 'leader' ? term : undefined
@@ -137,7 +137,7 @@
     findHeartbeatAgeMs,
   })
   const tablePuts = createTablePuts({ member, table: machine.table, logger })
-  /** An unknown group names no server to use; one that is registered stays registered. */
+  /** A new server of an unknown group cannot be used; one that is already registered stays registered. */
   const isAcceptable = ({ id, group }: RegisteredServer) =>
     options.isKnownGroup(group) || machine.servers.find(id) !== undefined
   const observeServer: Handlers['observeServer'] = async ({ server, count }) => {
@@ -168,14 +168,20 @@
     putTable: async ({ whole }) => {
       const table = applyTableUpdate(undefined, whole)
       if (table) return tablePuts.put(table)
-      throw new SpoolgateError('invalidRequest', 'the table came damaged; send it again whole')
+      throw new SpoolgateError(
+        'invalidRequest',
+        'the packed routing table is corrupt; send the complete table again',
+      )
     },
     readTable: async ({ heldVersion }) => {
       member.checkCurrent()
       const held = machine.table.current()
       if (held?.version === heldVersion) return { version: heldVersion }
       if (held) return { version: held.version, whole: buildTableUpdate(undefined, held) }
-      throw new SpoolgateError('controlUnavailable', 'no routing table yet; send one first')
+      throw new SpoolgateError(
+        'controlUnavailable',
+        'no routing table has been submitted yet; submit one first',
+      )
     },
     nameWeights: async (input) => {
       const result = (await member.propose({ kind: 'weights.name', ...input })) as NameWeightsResult
@@ -197,17 +203,24 @@
     const handler = handlers[name as FleetOperationName] as
       ((input: unknown) => Promise<unknown>) | undefined
     if (!handler)
-      throw new SpoolgateError('unknownPath', `no operation "${name}"; update this member`)
+      throw new SpoolgateError(
+        'unknownPath',
+        `unknown operation "${name}"; update this control instance`,
+      )
     return handler(input)
   }
   const runAtLeader = async (name: string, input: unknown): Promise<unknown> => {
     const { role, leaderUrl } = member.status()
     if (role === 'leader') return runLocally(name, input)
     if (leaderUrl === undefined) {
-      throw new SpoolgateError('controlUnavailable', 'no leader is known now; try again', {
-        notRun: false,
-        retryAfterSeconds: 1,
-      })
+      throw new SpoolgateError(
+        'controlUnavailable',
+        'the leader is currently unknown; retry the operation',
+        {
+          notRun: false,
+          retryAfterSeconds: 1,
+        },
+      )
     }
     return client.sendJson({
       method: 'POST',
--- a/packages/control/src/registry/instanceSearch.ts
+++ b/packages/control/src/registry/instanceSearch.ts
@@ -1,7 +1,7 @@
 /**
- * Finding a control instance that can answer, such as the one that leads. Instances are asked one after
- * the other. One that is silent is not given up: the next is asked beside it, and whoever answers first
- * counts. A try that takes long, since an instance is busy or its answer large, is so never begun anew.
+ * Finds a control instance that can answer, such as the leader, with hedged requests: when an instance does not answer
+ * within a short delay, the next one is contacted in parallel and the first answer wins. Slow requests stay open, so
+ * that a busy instance or a large answer does not cause the request to start over.
  */
 import {
   createTimeLimit,
@@ -16,68 +16,68 @@
 
 /** Options of {@link createInstanceSearch}. */
 export interface InstanceSearchOptions<Answer> {
-  /** URLs of the instances to ask. */
+  /** Lists the URLs of the instances to contact. */
   readonly listInstances: () => readonly string[]
-  /** Asks one instance; rejects where that one cannot answer. */
+  /** Sends the request to one instance; rejects if that instance cannot answer. */
   readonly send: (url: string, signal: AbortSignal) => Promise<Answer>
   readonly timers: TimerService
   readonly random: RandomSource
   readonly logger: Logger
-  /** Log event of a search that takes long. */
+  /** Name of the event logged while a search continues. */
   readonly logEvent: string
-  /** What the asker holds, for the log. */
+  /** Returns the caller's state, to be included in the log. */
   readonly describeState: () => LogFields
   readonly stopping: AbortSignal
 }
 
-/** An instance with its answer. */
+/** An answer and the instance that gave it. */
 export interface InstanceAnswer<Answer> {
   readonly url: string
   readonly answer: Answer
 }
 
-/** The search; see {@link createInstanceSearch}. */
+/** See {@link createInstanceSearch}. */
 export interface InstanceSearch<Answer> {
   /**
-   * Asks an instance that answered lately. Undefined when it does not answer within `patienceMs`; the ask
-   * goes on then, and {@link InstanceSearch.run} takes its answer.
+   * Sends a request to an instance that answered recently. Returns undefined if there is no answer within `timeoutMs`;
+   * the request then stays open, and {@link InstanceSearch.run} accepts its answer.
    */
   requestFrom(url: string, timeoutMs: number): Promise<InstanceAnswer<Answer> | undefined>
-  /** Asks all instances until one answers; undefined once stopping. */
+  /** Contacts the instances in turn until one answers; returns undefined once `stopping` is aborted. */
   run(): Promise<InstanceAnswer<Answer> | undefined>
 }
 
-/** Silence of an instance after which the next one is asked beside it, in ms. */
+/** Time without an answer after which the next instance is contacted in parallel, in ms. */
 const HEDGE_DELAY_MS = 350
 /**
- * Age of an ask after which its instance is asked again beside it, in ms: its connection may have
- * fallen silent without a reset, while the instance is well.
+ * Age of a request after which a second one is sent to the same instance in parallel, in ms: the connection may have
+ * died without a reset while the instance is healthy.
  */
 const RESEND_AFTER_MS = 1_500
 /**
- * Asks of one instance that are kept open; the oldest gives way. So each has 4.5 s at least, and the first
- * answers to 400 routers take a leader on a whole core 2 s.
+ * Maximum number of open requests per instance; the oldest is cancelled for a new one. Each request thus has at least
+ * 4.5 s, while a leader with a full core needs 2 s for the first answers to 400 routers.
  */
 const MAX_REQUESTS_PER_INSTANCE = 3
-/** Longest wait for one answer, in ms; only an instance that is out of reach is waited for so long. */
+/** Request timeout, in ms; reached only with unreachable instances. */
 const REQUEST_TIMEOUT_MS = 8_000
 /**
- * Pause after all instances were asked in vain, in ms; it doubles up to the longest. Instances that do
- * not listen yet refuse at once, and asking them takes a starting router's own processor.
+ * Initial backoff after no instance answered, in ms; it doubles up to the maximum. Instances that are not listening yet
+ * refuse connections immediately, and retrying without a pause would take CPU time from a starting router.
  */
 const MIN_BACKOFF_MS = 60
 const MAX_BACKOFF_MS = 240
-/** Part of a pause that is drawn, so that routers that started together do not ask together. */
+/** Random fraction of a backoff, so that routers that start together do not retry in step. */
 const JITTER_RATIO = 0.5
-/** Least time between two log lines of a search, in ms. */
+/** Minimum interval between log lines of a search, in ms. */
 const LOG_PERIOD_MS = 1_000
 
-/** How an ask ended. */
+/** Outcome of a request. */
 type RequestOutcome<Answer> =
   | { readonly kind: 'answered'; readonly url: string; readonly answer: Answer }
   | { readonly kind: 'failed'; readonly url: string; readonly cause: unknown }
 
-/** An ask in flight. */
+/** A request in flight. */
 interface PendingRequest<Answer> {
   readonly url: string
   readonly startedAt: number
@@ -85,14 +85,14 @@
   cancel(): void
 }
 
-/** Creates a search; nothing is asked yet. */
+/** Creates a search; no request is sent yet. */
 export function createInstanceSearch<Answer>(
   options: InstanceSearchOptions<Answer>,
 ): InstanceSearch<Answer> {
   const { timers, random, logger, stopping } = options
-  /** Asks in flight, the oldest first. */
+  /** Requests in flight, the oldest first. */
   const pending = new Set<PendingRequest<Answer>>()
-  /** Why each instance has not answered. */
+  /** Why each instance has not answered, by URL. */
   const failureReasons = new Map<string, string>()
   let loggedAt = -Infinity
 
@@ -123,22 +123,25 @@
     })
     failureReasons.set(url, 'silent')
   }
-  /** Waits for an ask that ends; undefined when none does in time. */
+  /** Waits for any request to end; returns undefined after `waitMs`. */
   const waitForOutcome = async (waitMs: number) => {
     const waiting = new AbortController()
     const timeout = waitFor(timers, waitMs, waiting.signal).then(() => undefined)
-    const outcomes = [...pending].map(async (ask) => ({ ask, end: await ask.outcome }))
+    const outcomes = [...pending].map(async (request) => ({
+      request,
+      end: await request.outcome,
+    }))
     const first = await Promise.race([...outcomes, timeout])
     waiting.abort()
-    if (first) pending.delete(first.ask)
+    if (first) pending.delete(first.request)
     return first?.end
   }
   const finishWith = ({ url, answer }: InstanceAnswer<Answer>): InstanceAnswer<Answer> => {
-    for (const ask of pending) removeRequest(ask)
+    for (const request of pending) removeRequest(request)
     failureReasons.clear()
     return { url, answer }
   }
-  /** Notes why an instance did not answer; returns whom it named. */
+  /** Records why an instance did not answer; returns the URL of the leader if the error includes it. */
   const recordFailure = ({ url, cause }: { url: string; cause: unknown }) => {
     const { kind, message } = toSpoolgateError(cause)
     failureReasons.set(url, `${kind}: ${message}`)
@@ -159,7 +162,7 @@
       .sort((a, b) => a.rank - b.rank)
       .map(({ url }) => url)
 
-  /** Asks each instance once, whoever was named first; undefined when none answered. */
+  /** Contacts each instance once, a hinted leader first; returns undefined if none answered. */
   const sendToAll = async (leaderHint: string | undefined) => {
     const queue = shuffle(options.listInstances())
     if (leaderHint !== undefined) queue.unshift(leaderHint)
@@ -169,21 +172,21 @@
       if (contacted.has(url) || isRequestedRecently(url)) continue
       contacted.add(url)
       startRequest(url)
-      const ended = await waitForOutcome(HEDGE_DELAY_MS)
-      if (ended?.kind === 'answered') return finishWith(ended)
-      const leader = ended && recordFailure(ended)
+      const outcome = await waitForOutcome(HEDGE_DELAY_MS)
+      if (outcome?.kind === 'answered') return finishWith(outcome)
+      const leader = outcome && recordFailure(outcome)
       if (leader !== undefined) queue.unshift(leader)
     }
     return undefined
   }
-  /** Waits out a pause, unless somebody answers or names a leader meanwhile. */
+  /** Waits for the backoff to elapse, or until an instance answers or names a leader. */
   const waitForBackoff = async (backoffMs: number) => {
     const deadline = timers.now() + backoffMs * (1 - random.next() * JITTER_RATIO)
     while (!stopping.aborted) {
-      const ended = await waitForOutcome(Math.max(0, deadline - timers.now()))
-      if (!ended) return {}
-      if (ended.kind === 'answered') return { found: finishWith(ended) }
-      const leaderHint = recordFailure(ended)
+      const outcome = await waitForOutcome(Math.max(0, deadline - timers.now()))
+      if (!outcome) return {}
+      if (outcome.kind === 'answered') return { found: finishWith(outcome) }
+      const leaderHint = recordFailure(outcome)
       if (leaderHint !== undefined) return { named: leaderHint }
     }
     return {}
@@ -191,9 +194,9 @@
   return {
     requestFrom: async (url, timeoutMs) => {
       startRequest(url)
-      const ended = await waitForOutcome(timeoutMs)
-      if (ended?.kind === 'answered') return finishWith(ended)
-      if (ended) recordFailure(ended)
+      const outcome = await waitForOutcome(timeoutMs)
+      if (outcome?.kind === 'answered') return finishWith(outcome)
+      if (outcome) recordFailure(outcome)
       return undefined
     },
     run: async () => {
--- a/packages/control/src/registry/quotaBuckets.ts
+++ b/packages/control/src/registry/quotaBuckets.ts
@@ -1,6 +1,7 @@
 /**
- * The leader's side of the limits of teams: one bucket for each team, from which routers get credits. What the bucket and all routers hold
- * together never exceeds the burst, so that no window sees more than the rate and the burst allow, whoever sends.
+ * Leader side of team quotas: one token bucket per team limit, from which routers receive credits. The bucket and all
+ * routers together never hold more than the burst, so that no time window exceeds what rate and burst allow, whichever
+ * router sends.
  */
 import type { TimerService } from '@spoolgate/core'
 import type { TeamQuota } from '@spoolgate/routing'
@@ -19,45 +20,45 @@
 /** Options of {@link createQuotaBuckets}. */
 export interface QuotaBucketsOptions {
   readonly timers: TimerService
-  /** Finds a quota in the newest table by its `formatQuotaKey`. */
+  /** Finds a quota in the newest table by its key, as `formatQuotaKey` builds it. */
   readonly findQuota: (key: string) => TeamQuota | undefined
   readonly tolerance: QuotaTolerance
 }
 
 /** See {@link createQuotaBuckets}. */
 export interface QuotaBuckets {
-  /** Begins a term: nothing is known of what earlier leaders granted. */
+  /** Starts a term, in which the grants of previous leaders are unknown. */
   reset(term: number): void
-  /** Applies a report and grants credits. */
+  /** Applies a router's report and grants credits. */
   applyReport(report: QuotaReport): QuotaGrants
-  /** Lists what was granted so far of the teams that a settled report names. */
+  /** Lists the credits granted so far for the teams in a report that was already applied. */
   listGrants(report: QuotaReport): QuotaGrants
   list(): readonly QuotaStatus[]
 }
 
-/** Shortest time whose rate a bucket holds, in ms. */
+/** Minimum capacity of a bucket, as time at the quota's rate, in ms. */
 const MIN_BURST_MS = 500
-/** Part of a full bucket below which a team is scarce. */
+/** Fraction of the available capacity below which a team counts as scarce. */
 const SCARCE_RATIO = 0.5
-/** Part of a bucket that one router may prefetch. */
+/** Fraction of a bucket's level that one router may prefetch. */
 const PREFETCH_RATIO = 0.1
-/** Part of the tolerance that a new leader presumes to be left. */
+/** Fraction of the tolerance that a new leader assumes to be unused. */
 const NEW_TERM_TOLERANCE_RATIO = 0.8
-/** Part of the tolerance that a bucket holds for use that is not reported yet. */
+/** Fraction of the tolerance reserved for use that is not reported yet. */
 const UNREPORTED_TOLERANCE_RATIO = 0.2
-/** Bounds of the time after which refused callers return, in ms. */
+/** Bounds of the retry delay sent to refused callers, in ms. */
 const MIN_RETRY_MS = 150
 const MAX_RETRY_MS = 10_000
-/** Time over which demand is averaged, in ms. */
+/** Time constant of the exponential average of demand, in ms. */
 const DEMAND_DECAY_MS = 1_000
-/** Time between two looks at all teams for those that are scarce, in ms. */
+/** Minimum interval between scans of all teams for scarcity, in ms. */
 const SCARCE_SCAN_PERIOD_MS = 20
 const MS_PER_S = 1_000
 
 interface RouterCredits {
   granted: number
   returned: number
-  /** Credits that the router holds, or that are on their way to it. */
+  /** Credits held by the router or in transit to it. */
   outstanding: number
   refused: number
 }
@@ -73,11 +74,11 @@
   quota: TeamQuota
   level: number
   filledAt: number
-  /** Sum over all routers. */
+  /** Credits held by or in transit to all routers. */
   outstanding: number
-  /** Costs that were refused lately, decaying. */
+  /** Exponentially decaying sum of refused costs. */
   refused: number
-  /** Credits that were granted lately, decaying. */
+  /** Exponentially decaying sum of granted credits. */
   granted: number
 }
 
@@ -85,14 +86,14 @@
   return Math.max(burst, (perSecond * MIN_BURST_MS) / MS_PER_S)
 }
 
-/** Creates buckets of no teams. */
+/** Creates an empty set of buckets. */
 export function createQuotaBuckets(options: QuotaBucketsOptions): QuotaBuckets {
   const { timers, findQuota, tolerance } = options
   const buckets = new Map<string, Bucket>()
   const routers = new Map<string, RouterIncarnation>()
   let term = -1
   let termBeganAt = timers.now()
-  /** Part of each rate that is not left to silent routers. */
+  /** Fraction of each rate that is not reserved for silent routers. */
   let activeRatio = 1
   const scarce = new Set<string>()
   let scarceScannedAt = -Infinity
@@ -101,12 +102,12 @@
     const inWindow = (quota.perSecond * tolerance.windowMs) / MS_PER_S + quota.burst
     return part * (tolerance.ratio * inWindow + tolerance.slack)
   }
-  /** What was used and not reported yet would be lost to a bucket that looks full. */
+  /** Headroom above the capacity: without it, a bucket that appears full would discard refill for unreported use. */
   const estimateUnreported = (quota: TeamQuota): number => {
     const atFullRate = (quota.perSecond * estimateReportLagMs(routers.size)) / MS_PER_S
     return Math.min(atFullRate, findToleratedAmount(quota, UNREPORTED_TOLERANCE_RATIO))
   }
-  /** An earlier leader may have granted all of a burst within the last window. */
+  /** A previous leader may have granted a whole burst within the last window. */
   const findInitialLevel = (quota: TeamQuota, now: number): number => {
     if (now - termBeganAt >= tolerance.windowMs) return findCapacity(quota)
     return Math.min(findCapacity(quota), findToleratedAmount(quota, NEW_TERM_TOLERANCE_RATIO))
@@ -132,7 +133,7 @@
     refused: 0,
     granted: 0,
   })
-  /** Finds the bucket of a limit as the newest table wants it; undefined without one. */
+  /** Finds or creates the bucket of a limit and applies the newest table; undefined if the table has no such limit. */
   const findBucket = (key: string, now: number): Bucket | undefined => {
     const quota = findQuota(key)
     if (!quota) {
@@ -142,7 +143,7 @@
     }
     const bucket = buckets.get(key) ?? createBucket(key, quota, now)
     buckets.set(key, bucket)
-    // Time before a change of the limit counts by the former rate.
+    // Time that passed before a limit changed is credited at the previous rate.
     fill(bucket, now)
     if (bucket.quota !== quota) {
       bucket.quota = quota
@@ -157,7 +158,7 @@
     }
     routers.delete(router)
   }
-  /** Credits of routers that are silent for their life are void there too; they count as used. */
+  /** Credits of a router that was silent beyond the credit TTL have expired there too; they count as used. */
   const updateActiveRatio = (now: number) => {
     const silenceMs = findContactTimeoutMs(routers.size)
     let silent = 0
@@ -202,10 +203,10 @@
     const returned = Math.max(0, use.returned - credits.returned)
     credits.returned += returned
     bucket.level += returned
-    // What a router used beyond its credits is taken off before anybody gets more.
+    // Use beyond a router's credits is deducted before any further credits are granted.
     if (outstanding < 0) grant(bucket, credits, -outstanding)
   }
-  /** Grants whole requests while the bucket holds anything, so that large ones are refused no more often than small ones. */
+  /** Grants whole requests while the level is positive, so that large requests are not refused more often. */
   const grantWaiting = (bucket: Bucket, credits: RouterCredits, waiting: readonly number[]) => {
     for (const cost of waiting) {
       if (bucket.level > 0) {
@@ -216,7 +217,7 @@
       }
     }
   }
-  /** A team has room while the bucket is well filled, and holds what routers use until they report it. */
+  /** A team is not scarce while its bucket is well filled and covers the use expected until the next reports. */
   const isScarce = ({ level, granted, outstanding, quota }: Bucket) => {
     const unreported = (granted * estimateReportLagMs(routers.size)) / DEMAND_DECAY_MS
     const room = findCapacity(quota) - Math.max(0, outstanding)
@@ -263,7 +264,7 @@
     const life = resolveIncarnation(report, now)
     life.reportedAt = now
     updateActiveRatio(now)
-    // Reports overtake each other on their connections: what an older one says is no longer so.
+    // Reports can arrive out of order over several connections; an older one is stale.
     if (report.sequence <= life.sequence) return []
     life.sequence = report.sequence
     return report.uses.flatMap((use) => applyUse(life, use, report.term === term, now))
--- a/packages/control/src/registry/rateLimitAllocator.ts
+++ b/packages/control/src/registry/rateLimitAllocator.ts
@@ -29,7 +29,7 @@
 
 /** Minimum rate of one router's share, in requests per second. */
 const MIN_SHARE_RATE = 0.75
-/** Delay before a new leader assigns shares, in ms: all routers poll it within that time, and keep their previous shares. */
+/** Delay before a new leader assigns shares, in ms: routers poll it within that time and keep their previous shares. */
 const FIRST_ASSIGNMENT_DELAY_MS = 1_500
 /** Minimum interval between refreshes of the router list, in ms. */
 const REFRESH_PERIOD_MS = 250
--- a/packages/control/src/registry/serverMonitor.ts
+++ b/packages/control/src/registry/serverMonitor.ts
@@ -51,7 +51,10 @@
     for (const [model, version] of Object.entries(machine.weights.list())) {
       const known = versions.get(model) ?? []
       if (known.some((entry) => entry.version === version)) continue
-      versions.set(model, [...known, { version, learnedAt: timers.now() }].slice(-MAX_TRACKED_VERSIONS))
+      versions.set(
+        model,
+        [...known, { version, learnedAt: timers.now() }].slice(-MAX_TRACKED_VERSIONS),
+      )
     }
   }
   const isExpired = ({ weights }: RegisteredServer) =>
--- a/packages/control/src/registry/serverSignals.ts
+++ b/packages/control/src/registry/serverSignals.ts
@@ -27,7 +27,8 @@
 /** See {@link createServerSignals}. */
 export interface ServerSignals {
   /**
-   * Checks whether a heartbeat is current, and records it if so. Returns false for a delayed one, which must be ignored.
+   * Checks whether a heartbeat is current and, if so, records it. Returns false for a delayed one, which must be
+   * ignored.
    * @param count sequence number of the heartbeat; undefined when the server sends none
    */
   admitHeartbeat(server: RegisteredServer, count: number | undefined): boolean
--- a/packages/control/src/registry/weightsRollout.ts
+++ b/packages/control/src/registry/weightsRollout.ts
@@ -1,7 +1,7 @@
 /**
- * Brings every engine to the wanted weights version. Only the leader orders, and not to an engine
- * that the one before it may have given orders to within a lease. A few engines load at a time;
- * versions that were overtaken are skipped.
+ * Rolls out the wanted weights version to every engine. Only the leader sends orders, and not to an engine while the
+ * order lease of a previous leader may still be valid. A limited number of engines load at a time; superseded versions
+ * are skipped.
  */
 import {
   toSpoolgateError,
@@ -27,72 +27,72 @@
   readonly instance: string
   readonly timers: TimerService
   readonly logger: Logger
-  /** Time for which the orders of an earlier leader may still count, in ms. */
+  /** Time for which orders of a previous leader may still take effect, in ms. */
   readonly orderLeaseMs: number
   readonly sumLoads: () => ServerLoads
-  /** Ms since the last heartbeat of a server. */
+  /** Returns the time since the last heartbeat of a server, in ms. */
   readonly findHeartbeatAgeMs: (id: BackendServerId) => number
 }
 
-/** The rollout; see {@link createWeightsRollout}. */
+/** See {@link createWeightsRollout}. */
 export interface WeightsRollout {
-  /** Servers that load weights now, or are about to. */
+  /** Lists the servers that are loading weights or about to. */
   listLoading(): readonly BackendServerId[]
-  /** Emits when a load begins or ends. */
+  /** Emits when a load starts or ends. */
   readonly loadingChanges: Observable<void>
   close(): Promise<void>
 }
 
-/** Time between two looks at what is to be loaded, in ms; small against a load of 0.8 s. */
+/** Interval between scheduling passes, in ms; small compared with a load of 0.8 s. */
 const SCHEDULE_PERIOD_MS = 50
-/** Time between announcing a load and ordering it, in ms: routers get the news by a waiting poll. */
+/** Time between announcing a load and ordering it, in ms: routers learn of it through a long poll. */
 const ANNOUNCE_MS = 120
 /**
- * Time of an engine without new work for which one more of its requests may go on under the new
- * weights, in ms: what that one makes from there on is worth less than what the others lose that wait
- * for a place. With waits of 1.5 to 3 s and one request a version took 9 s to reach six engines.
+ * Time without new work, in ms, for each request that may still be running when the load is ordered and then continues
+ * under the new weights. Its remaining output is worth less than the capacity lost to requests that wait for a slot.
+ * With waits of 1.5 to 3 s and one such request allowed, a version took 9 s to reach six engines.
  */
 const IDLE_MS_PER_RUNNING_REQUEST = 100
-/** Longest wait for requests that the engine has not begun, in ms; the order would refuse them. */
+/** Maximum wait for queued requests, which a load order would reject, in ms. */
 const MAX_IDLE_WAIT_MS = 1_500
-/** Time between two looks at an engine that loads, in ms; each look costs it a request. */
+/** Interval between status polls of a loading engine, in ms; each poll costs the engine a request. */
 const POLL_PERIOD_MS = 80
-/** Longest time for one load with all its tries, in ms; an order may be carried out 12 s late. */
+/** Timeout of one load including retries, in ms; an order may be executed 12 s late. */
 const LOAD_TIMEOUT_MS = 15_000
-/** Time after which an order without effect is repeated, in ms. */
+/** Time after which an order without effect is sent again, in ms. */
 const RESEND_ORDER_AFTER_MS = 1_000
-/** Silence after which a server gets no orders, in ms: two heartbeats of 1.2 s. */
+/** Time without a heartbeat after which a server gets no orders, in ms: two heartbeat intervals of 1.2 s. */
 const SILENT_MS = 2_400
-/** Pause before a server whose load failed is tried again, in ms. */
+/** Delay before a failed load is retried, in ms. */
 const FAILURE_BACKOFF_MS = 1_000
-/** Part of the live engines of a group that load at once: more slow each other down, and the others carry the traffic. */
+/** Fraction of a group's live engines that load at a time: more would slow each other, and the rest carry the traffic. */
 const LOADING_RATIO = 0.3
-/** Orders that one leadership can number before it reaches the numbers of the next. */
+/** Range of fencing tokens per term: the maximum number of orders before the tokens reach those of the next term. */
 const ORDERS_PER_TERM = 1_000_000
 
-/** Outcomes after which the same order cannot succeed. */
+/** Outcomes after which a retry of the order cannot succeed. */
 const PERMANENT_FAILURES: ReadonlySet<OrderOutcome> = new Set(['otherServer', 'invalid'])
 
 interface LoadTask {
   readonly server: RegisteredServer
   readonly model: string
-  /** Version that the server held when the task was made. */
+  /** Version held by the server when the task was created. */
   readonly heldVersion: number
 }
 
-/** Whether an engine may be ordered to load after a wait. */
+/** Whether an engine is idle enough to be ordered to load, given how long it has had no new work. */
 function isIdleEnough({ waiting, running }: EngineReport, waitedMs: number): boolean {
   if (waitedMs > MAX_IDLE_WAIT_MS) return true
   return waiting === 0 && running * IDLE_MS_PER_RUNNING_REQUEST <= waitedMs
 }
 
-/** Creates the rollout and starts its task. */
+/** Creates the rollout and starts its scheduling loop. */
 export function createWeightsRollout(options: WeightsRolloutOptions): WeightsRollout {
   const { member, machine, engineClient, timers, logger } = options
   const stopping = new AbortController()
   const loading = new Set<BackendServerId>()
   const backoffUntil = new Map<BackendServerId, number>()
-  /** Engines with an order that got no answer, so that it may still be carried out. */
+  /** Servers with an order that got no response and may still be executed. */
   const unanswered = new Set<BackendServerId>()
   const loadingChanges = new Subject<void>()
   const leases = createOrderLeases({
@@ -135,7 +135,7 @@
       return [{ server, model: outdated.model, heldVersion: outdated.version }]
     })
     const findCalls = ({ server }: LoadTask) => loads[server.id]?.calls ?? 0
-    // The oldest weights first: versions that follow each other closely would starve the rest.
+    // Oldest weights first: with versions in quick succession, other orders would starve some engines.
     return tasks.sort((a, b) => a.heldVersion - b.heldVersion || findCalls(a) - findCalls(b))
   }
 
@@ -160,7 +160,7 @@
     logger.info('weights.order', { server, model, version, fencing, waiting, running, outcome })
     return outcome
   }
-  /** Works until the engine holds the wanted version; false when it cannot be brought there. */
+  /** Sends load orders until the engine holds the wanted version; resolves to false on failure. */
   const loadWantedVersion = async (task: LoadTask, term: number): Promise<boolean> => {
     const deadline = timers.now() + LOAD_TIMEOUT_MS
     let orderedAt = -Infinity
@@ -186,7 +186,7 @@
     }
     return false
   }
-  /** Whoever leads next must know of the orders before the first of them is sent. */
+  /** Replicates the start of the load before the first order is sent, so that the next leader knows of it. */
   const startLoad = async (server: ServerName) => {
     await member.propose({ kind: 'load.begin', server })
     leases.acquire(server)
