--- a/packages/router/src/direct/directParts.ts
+++ b/packages/router/src/direct/directContext.ts
@@ -1,4 +1,4 @@
-/** Parts of a direct router that every request needs. */
+/** Shared state and services that every request of a direct router needs. */
 import type { FeedFollower } from '@spoolgate/control'
 import type {
   Counter,
@@ -11,21 +11,21 @@
   TurnQueue,
 } from '@spoolgate/core'
 import type { Backpressure } from '@spoolgate/routing'
-import type { BackendDialect, CallerDialect } from './dialects.js'
+import type { BackendProtocol, CallerProtocol } from './protocols.js'
 import type { QuotaAdmission } from '../limits/quotaAdmission.js'
 import type { ServerLimits } from '../limits/serverLimits.js'
-import type { Liveness } from './liveness.js'
-import type { PartMemory } from './partMemory.js'
+import type { LivenessMonitor } from './livenessMonitor.js'
+import type { PrefixCacheIndex } from './prefixCacheIndex.js'
 import type { GracefulShutdown } from './gracefulShutdown.js'
-import type { RetryShare } from './retryShare.js'
+import type { RetryBudget } from './retryBudget.js'
 import type { RequestQuarantine } from './requestQuarantine.js'
 import type { CrashDetector } from './crashDetector.js'
 import type { RestartDetector } from './restartDetector.js'
-import type { ServerBoard } from './serverBoard.js'
-import type { WorkSplit } from './workSplit.js'
-import type { WorkTimes } from './workTimes.js'
+import type { ServerStats } from './serverStats.js'
+import type { EnginePartition } from './enginePartition.js'
+import type { ServiceTimes } from './serviceTimes.js'
 
-/** Instruments of a direct router. */
+/** Metrics of a direct router. */
 export interface DirectInstruments {
   readonly requests: Counter
   readonly refusals: Counter
@@ -37,34 +37,34 @@
   readonly matchedTokens: Counter
 }
 
-/** Parts shared by all requests of a direct router. */
-export interface DirectParts {
+/** Context shared by all requests of a direct router. */
+export interface DirectContext {
   readonly instance: string
   readonly hall: string
   readonly feed: FeedFollower
-  readonly caller: CallerDialect
-  readonly backend: BackendDialect
+  readonly caller: CallerProtocol
+  readonly backend: BackendProtocol
   readonly agent: KeepAliveAgent
-  readonly board: ServerBoard
+  readonly serverStats: ServerStats
   readonly backpressure: Backpressure
   readonly limits: ServerLimits
   readonly quotas: QuotaAdmission
-  readonly liveness: Liveness
-  readonly memory: PartMemory
-  readonly split: WorkSplit
-  readonly times: WorkTimes
-  readonly retries: RetryShare
-  readonly restarts: Pick<RestartDetector, 'watch'>
-  readonly exits: Pick<CrashDetector, 'recordLost'>
+  readonly liveness: LivenessMonitor
+  readonly prefixCache: PrefixCacheIndex
+  readonly enginePartition: EnginePartition
+  readonly serviceTimes: ServiceTimes
+  readonly retryBudget: RetryBudget
+  readonly restartDetector: Pick<RestartDetector, 'watch'>
+  readonly crashDetector: Pick<CrashDetector, 'recordInterrupted'>
   readonly quarantine: Pick<RequestQuarantine, 'admit' | 'recordAnswered'>
   readonly timers: TimerService
-  /** Turns in which requests are sent. */
+  /** Queue that spreads sends over event loop turns. */
   readonly turns: TurnQueue
   readonly random: RandomSource
   readonly logger: Logger
   readonly rejectedInputs: Pick<RejectedInputs, 'record'>
   readonly instruments: DirectInstruments
-  readonly stop: Pick<GracefulShutdown, 'findRefusal'>
-  /** Age of the proof of the newest table beyond which keys are not trusted, in ms. */
+  readonly shutdown: Pick<GracefulShutdown, 'findRefusal'>
+  /** Greatest age of the proof that the routing table is current at which its keys are still trusted, in ms. */
   readonly maxProofAgeMs: number
 }
--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -29,27 +29,27 @@
 import { createBackpressure, type RoutingTable } from '@spoolgate/routing'
 import { firstValueFrom, race } from 'rxjs'
 import { resolveCall } from './callPlan.js'
-import type { BackendDialect, CallerDialect, DirectCall } from './dialects.js'
-import type { DirectInstruments, DirectParts } from './directParts.js'
-import { createLiveness, openProbe } from './liveness.js'
-import { createPartMemory } from './partMemory.js'
+import type { BackendProtocol, CallerProtocol, DirectCall } from './protocols.js'
+import type { DirectInstruments, DirectContext } from './directContext.js'
+import { createLivenessMonitor, checkConnection } from './livenessMonitor.js'
+import { createPrefixCacheIndex } from './prefixCacheIndex.js'
 import {
   createGracefulShutdown,
   listRefusalFields,
   type TrackedRequest,
 } from './gracefulShutdown.js'
 import { createRequestQuarantine } from './requestQuarantine.js'
-import { createRetryShare, type RetryBounds } from './retryShare.js'
+import { createRetryBudget, type RetryBounds } from './retryBudget.js'
 import { createQuotaAdmission } from '../limits/quotaAdmission.js'
 import { createQuotaCredits } from '../limits/quotaCredits.js'
 import { createServerLimits } from '../limits/serverLimits.js'
-import { addBackoffs } from './answerSignals.js'
-import { createServerBoard } from './serverBoard.js'
+import { addBackoffs } from './responseSignals.js'
+import { createServerStats } from './serverStats.js'
 import { createCrashDetector } from './crashDetector.js'
 import { createRestartDetector } from './restartDetector.js'
 import { serveCall } from './serveCall.js'
-import { createWorkSplit } from './workSplit.js'
-import { createWorkTimes } from './workTimes.js'
+import { createEnginePartition } from './enginePartition.js'
+import { createServiceTimes } from './serviceTimes.js'
 
 /** Options of {@link createDirectRouter}. */
 export interface DirectRouterOptions {
@@ -60,8 +60,8 @@
   readonly port: number
   /** URLs of the control instances to start from; read again whenever they are needed. */
   readonly seeds: () => readonly string[]
-  readonly caller: CallerDialect
-  readonly backend: BackendDialect
+  readonly caller: CallerProtocol
+  readonly backend: BackendProtocol
   readonly decodeTable: (document: string) => RoutingTable
   readonly retryBounds: RetryBounds
   /** Age of the proof of the newest table beyond which keys are not trusted, in ms. */
@@ -159,17 +159,17 @@
   const metrics = createMetrics('router')
   const client = createHttpClient()
   const random = createRandomSource(options.seed ?? Date.now() % 2 ** 31)
-  const board = createServerBoard(timers)
+  const board = createServerStats(timers)
   const backpressure = createBackpressure()
   const limits = createServerLimits()
   const rejectedInputs = createRejectedInputs({ logger, timers })
   const agent = createKeepAliveAgent({ idleMs: BACKEND_IDLE_MS, marginMs: BACKEND_IDLE_MARGIN_MS })
-  const liveness = createLiveness({
+  const liveness = createLivenessMonitor({
     timers,
-    probe: openProbe,
+    probe: checkConnection,
     isRegistered: (id) => feed.current()?.servers.has(id) ?? false,
   })
-  const memory = createPartMemory({ findCacheTokens: (place) => findCacheTokens(place) })
+  const memory = createPrefixCacheIndex({ findCacheTokens: (place) => findCacheTokens(place) })
   const findCacheTokens = (place: BackendServerId): number => {
     const view = feed.current()
     const group = view?.servers.get(place)?.group
@@ -178,8 +178,8 @@
     // A place that is no server is a store.
     return Math.max(0, ...(view?.index.table.stores.map(({ cacheTokens }) => cacheTokens) ?? []))
   }
-  const blame = createCrashReportBuffer(timers)
-  const quarantine = createRequestQuarantine({ record: blame, timers, logger })
+  const crashReports = createCrashReportBuffer(timers)
+  const quarantine = createRequestQuarantine({ crashReports, timers, logger })
   const credits = createQuotaCredits({
     router: options.instance,
     life: createUniqueId('router'),
@@ -203,7 +203,7 @@
     decodeTable: options.decodeTable,
     listLoads: () => addBackoffs(board.listLoads(), backpressure.listBackingOff(timers.now())),
     takePlacements: memory.takePlacements,
-    blame,
+    blame: crashReports,
     limits: {
       listUnreported: (term) => limits.listUnreported(term, timers.now()),
       recordAcknowledged: limits.recordAcknowledged,
@@ -216,18 +216,18 @@
       buildReport: (now) => credits.buildReport([], now),
       applyGrants: credits.applyGrants,
     },
-    onSuspects: quarantine.apply,
-    onTrial: quarantine.recordTrial,
+    onSuspects: quarantine.applySuspects,
+    onTrial: quarantine.grantTrial,
     onPlacements: (placements) => {
-      for (const placement of placements) memory.record(placement)
+      for (const placement of placements) memory.recordPlacement(placement)
     },
     onKept: (placements) => {
-      for (const placement of placements) memory.confirm(placement)
+      for (const placement of placements) memory.confirmPlacement(placement)
     },
   })
   const instruments = createInstruments(metrics)
-  const stop = createGracefulShutdown({ timers, logger, cutOff: instruments.cutOff })
-  const restarts = createRestartDetector({
+  const shutdown = createGracefulShutdown({ timers, logger, cutOff: instruments.cutOff })
+  const restartDetector = createRestartDetector({
     views: feed.changes,
     agent,
     logger,
@@ -236,17 +236,17 @@
       limits.carryOver(before, after, timers.now())
     },
   })
-  const exits = createCrashDetector({
+  const crashDetector = createCrashDetector({
     liveness,
     views: feed.changes,
     timers,
     logger,
-    onEnd: (server, { request, round }) => quarantine.recordEnd(server, request, round),
+    onCrash: (server, { request, round }) => quarantine.recordCrash(server, request, round),
   })
   metrics.gauge(
     'quarantined_requests',
     'Requests that are refused, since servers ended under them',
-    quarantine.countHeld,
+    quarantine.countQuarantined,
   )
   metrics.gauge(
     'backing_off_servers',
@@ -254,28 +254,28 @@
     () => backpressure.listBackingOff(timers.now()).length,
   )
   metrics.gauge('limited_servers', 'Backend servers that name a rate limit', limits.countLimited)
-  const parts: DirectParts = {
+  const parts: DirectContext = {
     instance: options.instance,
     hall: options.hall,
     feed,
     caller,
     backend: options.backend,
     agent,
-    board,
+    serverStats: board,
     backpressure,
     limits,
     quotas,
     liveness,
-    memory,
-    split: createWorkSplit(timers),
-    times: createWorkTimes(),
-    retries: createRetryShare({
+    prefixCache: memory,
+    enginePartition: createEnginePartition(timers),
+    serviceTimes: createServiceTimes(),
+    retryBudget: createRetryBudget({
       timers,
       bounds: options.retryBounds,
       countRouters: () => feed.current()?.routers ?? 1,
     }),
-    restarts,
-    exits,
+    restartDetector,
+    crashDetector,
     quarantine,
     timers,
     turns: createTurnQueue(),
@@ -283,7 +283,7 @@
     logger,
     rejectedInputs,
     instruments,
-    stop,
+    shutdown,
     maxProofAgeMs: options.maxProofAgeMs,
   }
   /** A router that has just started gets its table within a second; its callers wait for that. */
@@ -314,11 +314,11 @@
       const plan = resolveCall(parts, call, arrivedAt)
       tracked.recordPlan(plan)
       const { maxBodyBytes } = plan.view.index.table.bounds
-      const timeoutMs = Math.min(BODY_TIMEOUT_MS, stop.findBodyMs())
+      const timeoutMs = Math.min(BODY_TIMEOUT_MS, shutdown.findBodyTimeoutMs())
       const body = await readBody(request, { maxBytes: maxBodyBytes, timeoutMs })
       if (response.destroyed) return
       // Not before the body is read: a connection that ends with unread bytes may lose its answer.
-      const refusal = stop.findRefusal(plan)
+      const refusal = shutdown.findRefusal(plan)
       if (refusal) throw refusal
       await serveCall(parts, plan, body, response)
     } catch (cause) {
@@ -350,7 +350,7 @@
     socket.once('close', () => sockets.delete(socket))
   })
   server.on('request', (request, response) => {
-    const tracked = stop.add(request, response)
+    const tracked = shutdown.track(request, response)
     if (tracked) void serve(request, response, tracked)
   })
   const boundsWatch = feed.changes.subscribe(({ index }) => {
@@ -365,24 +365,24 @@
     port,
     feed,
     findUnreadyReason: () => {
-      if (stop.isStopping()) return 'stopping'
+      if (shutdown.isStopping()) return 'stopping'
       if (!feed.current()) return 'no routing table yet'
       return feed.proofAgeMs() > options.maxProofAgeMs ? 'control is out of reach' : undefined
     },
     renderMetrics: metrics.render,
     close: async (drainMs) => {
-      stop.start(drainMs)
+      shutdown.start(drainMs)
       await waitFor(timers, Math.min(SERVE_ON_MS, drainMs))
       // Timers run before sockets are read: what has arrived meanwhile is not idle.
       await parts.turns.take()
       server.close()
       server.closeIdleConnections()
-      await stop.waitUntilIdle()
-      const abandoned = stop.reportCutOff()
+      await shutdown.waitUntilIdle()
+      const abandoned = shutdown.reportCutOff()
       for (const socket of sockets) socket.destroy()
       boundsWatch.unsubscribe()
-      restarts.close()
-      exits.close()
+      restartDetector.close()
+      crashDetector.close()
       liveness.close()
       await feed.close()
       agent.destroy()
--- a/packages/router/src/direct/sendAdmission.ts
+++ b/packages/router/src/direct/sendAdmission.ts
@@ -1,14 +1,14 @@
 /** Admission of one send of a request: by the limit of its team, by the quarantine, and by what servers can take. */
 import type { RequestFingerprint, SpoolgateError } from '@spoolgate/core'
 import type { CallPlan } from './callPlan.js'
-import type { Candidate } from './choice.js'
-import type { DirectParts } from './directParts.js'
+import type { Candidate } from './serverRanking.js'
+import type { DirectContext } from './directContext.js'
 import { takeQuota } from './sendQuota.js'
 import { createQuarantineError, createUnavailableError } from './errorResponses.js'
-import { chooseSend, type SendsSoFar } from './sendChoice.js'
+import { chooseServer, type SendHistory } from './serverSelection.js'
 
 /** What has become of a request so far. */
-export interface RequestState extends SendsSoFar {
+export interface RequestState extends SendHistory {
   readonly fingerprint: RequestFingerprint
   /** Whether a server may have run the request. */
   readonly mayHaveRun: boolean
@@ -32,7 +32,7 @@
 
 /** Admits the next send of a request, or says why it is refused. */
 export async function admitSend(
-  parts: DirectParts,
+  parts: DirectContext,
   plan: CallPlan,
   state: RequestState,
   log: (event: string, fields: Record<string, unknown>) => void,
@@ -50,15 +50,15 @@
   }
   const held = parts.quarantine.admit(state.fingerprint)
   if (held.kind === 'refused') {
-    quota.giveBack()
+    quota.refund()
     log('call.quarantined', { round: held.round, leftMs: held.leftMs })
     return refuse(createQuarantineError(held.leftMs))
   }
   const giveBack = () => {
-    quota.giveBack()
-    held.giveBack()
+    quota.refund()
+    held.returnTrial()
   }
-  const choice = chooseSend(parts, plan, state, log)
+  const choice = chooseServer(parts, plan, state, log)
   if (choice.kind === 'server') {
     return { kind: 'admitted', candidate: choice.candidate, round: held.round, giveBack }
   }
--- a/packages/router/src/direct/sendQuota.ts
+++ b/packages/router/src/direct/sendQuota.ts
@@ -2,8 +2,8 @@
 import { SpoolgateError } from '@spoolgate/core'
 import type { TeamQuota } from '@spoolgate/routing'
 import type { CallPlan } from './callPlan.js'
-import type { DirectCall } from './dialects.js'
-import type { DirectParts } from './directParts.js'
+import type { DirectCall } from './protocols.js'
+import type { DirectContext } from './directContext.js'
 import { drawRetryAfterSeconds } from './errorResponses.js'
 
 /** A rejection by the quota, with the figures behind it as log fields. */
@@ -17,12 +17,12 @@
   /** Undefined if the send is admitted. */
   readonly refusal: QuotaRefusal | undefined
   /** Returns the quota taken by a send that no server ran. */
-  readonly giveBack: () => void
+  readonly refund: () => void
 }
 
-const NO_LIMIT: QuotaDecision = { refusal: undefined, giveBack: () => {} }
+const UNLIMITED: QuotaDecision = { refusal: undefined, refund: () => {} }
 
-function measureCost(parts: DirectParts, { unit, uncountedTokens }: TeamQuota, call: DirectCall) {
+function measureCost(parts: DirectContext, { unit, uncountedTokens }: TeamQuota, call: DirectCall) {
   if (unit === 'requests') return 1
   const { tokenCount } = call
   if (tokenCount !== 'unreadable') return tokenCount ?? uncountedTokens
@@ -32,14 +32,14 @@
 }
 
 /** Charges one send of a request to the quota of its team, or rejects it. */
-export async function takeQuota(parts: DirectParts, plan: CallPlan): Promise<QuotaDecision> {
+export async function takeQuota(parts: DirectContext, plan: CallPlan): Promise<QuotaDecision> {
   const { team, call } = plan
   const quota = team?.quota
-  if (!team || !quota) return NO_LIMIT
-  const use = { team: team.id, quota, cost: measureCost(parts, quota, call) }
-  const verdict = await parts.quotas.admit(use)
+  if (!team || !quota) return UNLIMITED
+  const charge = { team: team.id, quota, cost: measureCost(parts, quota, call) }
+  const verdict = await parts.quotas.admit(charge)
   if (verdict.kind === 'admitted') {
-    return { refusal: undefined, giveBack: () => parts.quotas.giveBack(use) }
+    return { refusal: undefined, refund: () => parts.quotas.giveBack(charge) }
   }
   const { perSecond, burst, unit } = quota
   const retryAfterSeconds = drawRetryAfterSeconds(verdict.retryAfterMs, parts.random)
@@ -47,6 +47,6 @@
   const error = new SpoolgateError('limitReached', message, { retryAfterSeconds })
   const { held, isScarce, contactAgeMs } = verdict
   const figures = { held, isScarce, contactAgeMs, retryAfterSeconds }
-  const fields = { team: team.id, unit, perSecond, burst, cost: use.cost, ...figures }
-  return { ...NO_LIMIT, refusal: { error, fields } }
+  const fields = { team: team.id, unit, perSecond, burst, cost: charge.cost, ...figures }
+  return { ...UNLIMITED, refusal: { error, fields } }
 }
--- /dev/null
+++ b/packages/router/src/direct/serverSelection.ts
@@ -0,0 +1,104 @@
+/** Selects the backend server for the next send of a request, or finds that none can take it. */
+import type { BackendServerId } from '@spoolgate/core'
+import { formatCallScope, type CallPlan } from './callPlan.js'
+import { LOADING_MS, rankServers, type Candidate } from './serverRanking.js'
+import type { DirectContext } from './directContext.js'
+import { findRetryAfterSeconds, drawRetryAfterSeconds } from './errorResponses.js'
+import { formatChoice } from './sendRecord.js'
+import { judgeServer } from './serverVerdict.js'
+
+/** Greatest number of sends of one request, whatever their outcome; bounds the work for one that no server accepts. */
+const MAX_SENDS = 4
+
+/** Sends of a request so far. */
+export interface SendHistory {
+  /** Sends that were started. */
+  readonly sends: number
+  /** Servers to which bytes of the request were sent. */
+  readonly sentTo: ReadonlySet<BackendServerId>
+  /** Servers that were unreachable, or refused for a lasting reason. */
+  readonly excluded: ReadonlySet<BackendServerId>
+}
+
+/** Logs an event of the request. */
+type CallLog = (event: string, fields: Record<string, unknown>) => void
+
+/** No server is available; the caller may retry after so many seconds. */
+export interface NoServer {
+  readonly kind: 'none'
+  readonly retryAfterSeconds: number
+}
+
+/** Result of {@link chooseServer}. */
+export type ServerSelection = { readonly kind: 'server'; readonly candidate: Candidate } | NoServer
+
+/** Finds the earliest time at which a server of the group accepts requests again; now if one already does. */
+function findNextOpenAt(context: DirectContext, plan: CallPlan): number {
+  const now = context.timers.now()
+  const instants = [...plan.view.servers.values()]
+    .filter(({ group, phase }) => group === plan.group.name && phase === 'ready')
+    .map(({ id }) => judgeServer(context, id, now))
+    .filter(({ kind }) => kind !== 'leaving')
+    .map((verdict) => ('until' in verdict ? verdict.until : now))
+  return instants.length === 0 ? now : Math.min(...instants)
+}
+
+/** Finds the Retry-After of a request that no server of the group accepts now, in seconds. */
+export function findGroupRetryAfterSeconds(context: DirectContext, plan: CallPlan): number {
+  const retryAfterMs = findNextOpenAt(context, plan) - context.timers.now()
+  return drawRetryAfterSeconds(retryAfterMs, context.random)
+}
+
+function createNoServer(context: DirectContext, plan: CallPlan, log: CallLog): NoServer {
+  const retryAfterSeconds = findGroupRetryAfterSeconds(context, plan)
+  const backingOff = context.backpressure.listBackingOff(context.timers.now()).length
+  const limited = context.limits.countLimited()
+  log('call.noServer', { group: plan.group.name, backingOff, limited, retryAfterSeconds })
+  return { kind: 'none', retryAfterSeconds }
+}
+
+/** Refuses a generation request whose answer cannot begin before its deadline, or that no engine can serve now. */
+function findDeadlineRefusal(
+  context: DirectContext,
+  plan: CallPlan,
+  { expectedMs, cost }: Candidate,
+  log: CallLog,
+): NoServer | undefined {
+  const leftMs = plan.deadline - context.timers.now()
+  const seconds = findRetryAfterSeconds(cost >= LOADING_MS ? Infinity : expectedMs, leftMs)
+  if (seconds === undefined) return undefined
+  log('call.hopeless', { expectedMs, cost, leftMs, retryAfterSeconds: seconds })
+  return { kind: 'none', retryAfterSeconds: seconds }
+}
+
+/** Chooses the server for the next send. */
+export function chooseServer(
+  context: DirectContext,
+  plan: CallPlan,
+  { sends, sentTo, excluded }: SendHistory,
+  log: CallLog,
+): ServerSelection {
+  if (sends >= MAX_SENDS) return createNoServer(context, plan, log)
+  const ranked = rankServers(context, {
+    view: context.feed.current() ?? plan.view,
+    group: plan.group,
+    prompt: plan.call.prompt,
+    formatScope: (version) => formatCallScope(plan.team, version),
+    excluded,
+    hall: context.hall,
+    now: context.timers.now(),
+  })
+  const hasReachedMaxServers = sentTo.size >= plan.route.maxServers
+  const allowed = hasReachedMaxServers
+    ? ranked.filter(({ server }) => sentTo.has(server.id))
+    : ranked
+  const [best] = allowed
+  if (!best) return createNoServer(context, plan, log)
+  const isFirstPromptSend = plan.call.prompt !== undefined && sends === 0
+  const deadlineRefusal = isFirstPromptSend
+    ? findDeadlineRefusal(context, plan, best, log)
+    : undefined
+  if (deadlineRefusal) return deadlineRefusal
+  log('call.choice', formatChoice(plan, best, allowed.at(1)))
+  return { kind: 'server', candidate: best }
+}
