--- a/packages/control/src/__tests__/weightsRollout.spec.ts
+++ b/packages/control/src/__tests__/weightsRollout.spec.ts
@@ -137,12 +137,12 @@
     await leader.run(250)
     expect(leader.orders).to.have.length(0)
     await leader.run(250)
-    expect(findOrder('few')).to.include({ isKeepingRuns: true })
+    expect(findOrder('few')).to.include({ keepsRunningRequests: true })
     expect(few.version).to.equal(2)
     expect(findOrder('many')).to.equal(undefined)
     many.running = 0
     await leader.run(150)
-    expect(findOrder('many')).to.include({ isKeepingRuns: false })
+    expect(findOrder('many')).to.include({ keepsRunningRequests: false })
   })
 
   it('waits for queued requests, but only for a limited time', async () => {
