--- a/packages/control/src/registry/instanceSearch.ts
+++ b/packages/control/src/registry/instanceSearch.ts
@@ -125,14 +125,14 @@
   }
   /** Waits for any request to end; returns undefined after `waitMs`. */
   const waitForOutcome = async (waitMs: number) => {
-    const waiting = new AbortController()
-    const timeout = waitFor(timers, waitMs, waiting.signal).then(() => undefined)
+    const cancellation = new AbortController()
+    const timeout = waitFor(timers, waitMs, cancellation.signal).then(() => undefined)
     const outcomes = [...pending].map(async (request) => ({
       request,
       end: await request.outcome,
     }))
     const first = await Promise.race([...outcomes, timeout])
-    waiting.abort()
+    cancellation.abort()
     if (first) pending.delete(first.request)
     return first?.end
   }
--- a/packages/control/src/registry/quotaBuckets.ts
+++ b/packages/control/src/registry/quotaBuckets.ts
@@ -98,9 +98,9 @@
   const scarce = new Set<string>()
   let scarceScannedAt = -Infinity
 
-  const findToleratedAmount = (quota: TeamQuota, part: number): number => {
+  const findToleratedAmount = (quota: TeamQuota, ratio: number): number => {
     const inWindow = (quota.perSecond * tolerance.windowMs) / MS_PER_S + quota.burst
-    return part * (tolerance.ratio * inWindow + tolerance.slack)
+    return ratio * (tolerance.ratio * inWindow + tolerance.slack)
   }
   /** Headroom above the capacity: without it, a bucket that appears full would discard refill for unreported use. */
   const estimateUnreported = (quota: TeamQuota): number => {
@@ -160,11 +160,11 @@
   }
   /** Credits of a router that was silent beyond the credit TTL have expired there too; they count as used. */
   const updateActiveRatio = (now: number) => {
-    const silenceMs = findContactTimeoutMs(routers.size)
+    const contactTimeoutMs = findContactTimeoutMs(routers.size)
     let silent = 0
     for (const [router, { reportedAt }] of routers) {
       if (now - reportedAt > CREDIT_TTL_MS) removeRouter(router)
-      else if (now - reportedAt > silenceMs) silent += 1
+      else if (now - reportedAt > contactTimeoutMs) silent += 1
     }
     activeRatio = routers.size === 0 ? 1 : 1 - silent / routers.size
   }
@@ -176,11 +176,11 @@
     routers.set(router, created)
     return created
   }
-  const resolveCredits = (life: RouterIncarnation, use: CreditUse): RouterCredits => {
-    const known = life.teams.get(use.key)
+  const resolveCredits = (incarnation: RouterIncarnation, use: CreditUse): RouterCredits => {
+    const known = incarnation.teams.get(use.key)
     if (known) return known
     const credits = { granted: 0, returned: use.returned, outstanding: 0, refused: 0 }
-    life.teams.set(use.key, credits)
+    incarnation.teams.set(use.key, credits)
     return credits
   }
   const grant = (bucket: Bucket, credits: RouterCredits, amount: number) => {
@@ -234,14 +234,14 @@
     return Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, Math.round(waitMs)))
   }
   const applyUse = (
-    life: RouterIncarnation,
+    incarnation: RouterIncarnation,
     use: CreditUse,
     isCurrentTerm: boolean,
     now: number,
   ): CreditGrant[] => {
     const bucket = findBucket(use.key, now)
     if (!bucket) return []
-    const credits = resolveCredits(life, use)
+    const credits = resolveCredits(incarnation, use)
     recordUse(bucket, credits, use, isCurrentTerm)
     grantWaiting(bucket, credits, use.waiting)
     grantPrefetch(bucket, credits, use.prefetch)
@@ -261,13 +261,13 @@
     return [...scarce]
   }
   const applyRouterReport = (report: QuotaReport, now: number): CreditGrant[] => {
-    const life = resolveIncarnation(report, now)
-    life.reportedAt = now
+    const incarnation = resolveIncarnation(report, now)
+    incarnation.reportedAt = now
     updateActiveRatio(now)
     // Reports can arrive out of order over several connections; an older one is stale.
-    if (report.sequence <= life.sequence) return []
-    life.sequence = report.sequence
-    return report.uses.flatMap((use) => applyUse(life, use, report.term === term, now))
+    if (report.sequence <= incarnation.sequence) return []
+    incarnation.sequence = report.sequence
+    return report.uses.flatMap((use) => applyUse(incarnation, use, report.term === term, now))
   }
   const buildGrants = (report: QuotaReport, grants: readonly CreditGrant[], now: number) => ({
     term,
--- a/packages/control/src/registry/rateLimitAllocator.ts
+++ b/packages/control/src/registry/rateLimitAllocator.ts
@@ -81,8 +81,8 @@
   }
   const removeExpired = (now: number) => {
     for (const [server, { perSecond, at }] of entries) {
-      const isForgotten = perSecond === null && now - at > WITHDRAWN_TTL_MS
-      if (!isForgotten && isRegistered(server)) continue
+      const isExpired = perSecond === null && now - at > WITHDRAWN_TTL_MS
+      if (!isExpired && isRegistered(server)) continue
       entries.delete(server)
       revision += 1
     }
