--- a/packages/router/src/__tests__/directComponents.spec.ts
+++ b/packages/router/src/__tests__/directComponents.spec.ts
@@ -2,7 +2,7 @@
 import { hashPart } from '@spoolgate/routing'
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { createEventCutter } from '../direct/eventCutter.js'
+import { createSseEventBuffer } from '../direct/sseEventBuffer.js'
 import { buildPlacement, createPrefixCacheIndex } from '../direct/prefixCacheIndex.js'
 import { createRetryBudget } from '../direct/retryBudget.js'
 import { createLivenessMonitor } from '../direct/livenessMonitor.js'
@@ -23,7 +23,7 @@
     fc.assert(
       fc.property(fc.array(event), fc.array(fc.nat({ max: 30 })), (events, sizes) => {
         const text = events.join('')
-        const cutter = createEventCutter()
+        const cutter = createSseEventBuffer()
         let passed = ''
         let at = 0
         for (const size of [...sizes, text.length]) {
@@ -32,18 +32,18 @@
           expect(passed === '' || passed.endsWith('\n\n')).to.equal(true)
         }
         expect(passed).to.equal(text)
-        expect(cutter.hasPart()).to.equal(false)
+        expect(cutter.hasPartialEvent()).to.equal(false)
       }),
       { seed: 11 },
     )
   })
 
   it('buffers a partial event and reports the ID of the last whole one', () => {
-    const cutter = createEventCutter()
+    const cutter = createSseEventBuffer()
     const whole = cutter.add(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: b'))
     expect(whole.toString()).to.equal('id: 1\ndata: a\n\n')
-    expect(cutter.lastId()).to.equal('1')
-    expect(cutter.hasPart()).to.equal(true)
+    expect(cutter.lastEventId()).to.equal('1')
+    expect(cutter.hasPartialEvent()).to.equal(true)
   })
 })
 
--- /dev/null
+++ b/packages/router/src/direct/attemptOutcome.ts
@@ -0,0 +1,90 @@
+/** Outcomes of one attempt at a backend server, and the relay of its response up to that outcome. */
+import type { IncomingMessage, ServerResponse } from 'node:http'
+import { readResponseBody, sendBufferedResponse, type StreamRelay } from './responseRelay.js'
+import type { HeaderList, BackoffSignal } from './protocols.js'
+import type { CallOutcome } from './serverStats.js'
+
+/** The attempt was abandoned because its server seems to be dead; the request may have run. */
+export interface AbandonedOutcome {
+  readonly kind: 'abandoned'
+  readonly reason: string
+}
+
+/** The server promises that it did not run the request. */
+export interface NotRunOutcome {
+  readonly kind: 'notRun'
+  readonly reason: string
+  /** Weights version reported by the server. */
+  readonly version: number | undefined
+  readonly backoff: BackoffSignal | undefined
+}
+
+/** The server ran the request and failed; its own response may be forwarded. */
+export interface FailedOutcome {
+  readonly kind: 'failed'
+  readonly status: number
+  readonly reason: string
+  readonly forward: () => void
+}
+
+/** How one attempt ended. */
+export type AttemptOutcome =
+  | AbandonedOutcome
+  | NotRunOutcome
+  | FailedOutcome
+  /** The whole response was forwarded. */
+  | { readonly kind: 'answered'; readonly status: number }
+  /** The server received nothing: no connection was established. */
+  | { readonly kind: 'notSent'; readonly reason: string }
+  /** The deadline has passed, the caller is gone, or the routing table is too old to trust; no byte was sent. */
+  | { readonly kind: 'forbidden'; readonly reason: string }
+  /** It is unknown whether the request ran, or its stream broke off. */
+  | { readonly kind: 'lost'; readonly reason: string }
+
+/** What each outcome says about its server. */
+export const SERVER_OUTCOMES: Readonly<Record<AttemptOutcome['kind'], CallOutcome>> = {
+  answered: 'ok',
+  notSent: 'none',
+  forbidden: 'none',
+  notRun: 'none',
+  failed: 'failed',
+  lost: 'failed',
+  abandoned: 'none',
+}
+
+/** Statuses that tell callers that the request was not run; forwarded only when the server itself guarantees that. */
+export const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503])
+const MIN_CLIENT_ERROR_STATUS = 400
+const MIN_SERVER_ERROR_STATUS = 500
+const EVENT_STREAM_TYPE = 'text/event-stream'
+
+/** Options of {@link relayResponse}. */
+export interface RelayResponseOptions {
+  readonly message: IncomingMessage
+  readonly headers: HeaderList
+  readonly response: ServerResponse
+  readonly relay: StreamRelay
+  /** Whether the request has been completed in the meantime. */
+  readonly isFinished: () => boolean
+}
+
+/** Relays a response to the caller; failures are returned instead. */
+export async function relayResponse(options: RelayResponseOptions): Promise<AttemptOutcome> {
+  const { message, headers, response, relay, isFinished } = options
+  const status = message.statusCode ?? 0
+  const isStream = (message.headers['content-type'] ?? '').startsWith(EVENT_STREAM_TYPE)
+  if (isStream && status < MIN_CLIENT_ERROR_STATUS) {
+    const bodyResult = await relay.relay(message, headers)
+    if (bodyResult === 'broken') return { kind: 'lost', reason: 'the response stream broke off' }
+    if (!isFinished()) relay.finish()
+    return { kind: 'answered', status }
+  }
+  const body = await readResponseBody(message)
+  if (!body) return { kind: 'lost', reason: 'the response broke off' }
+  const forward = () => sendBufferedResponse(response, status, headers, body)
+  if (status >= MIN_SERVER_ERROR_STATUS || NOT_RUN_STATUSES.has(status)) {
+    return { kind: 'failed', status, reason: `status ${status}`, forward }
+  }
+  if (!isFinished()) forward()
+  return { kind: 'answered', status }
+}
--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -1,6 +1,6 @@
 /**
- * A router of the direct path: callers' requests go to backend servers without a sidecar between. It
- * holds nothing that a restart would miss; table, weights and servers come by the feed from control.
+ * A router of the direct path: forwards callers' requests to backend servers without a sidecar in between. It keeps no
+ * state that must survive a restart; the feed from control supplies the routing table, weights and servers.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
@@ -56,26 +56,26 @@
   readonly instance: string
   readonly hall: string
   readonly host: string
-  /** Port for callers; 0 lets the machine choose. */
+  /** Port for callers; 0 lets the operating system choose. */
   readonly port: number
-  /** URLs of the control instances to start from; read again whenever they are needed. */
+  /** URLs of the control instances to contact first; called each time they are needed. */
   readonly seeds: () => readonly string[]
   readonly caller: CallerProtocol
   readonly backend: BackendProtocol
   readonly decodeTable: (document: string) => RoutingTable
   readonly retryBounds: RetryBounds
-  /** Age of the proof of the newest table beyond which keys are not trusted, in ms. */
+  /** Maximum age of the proof that the routing table is the newest, in ms; older keys are not trusted. */
   readonly maxProofAgeMs: number
   readonly logger: Logger
   readonly timers: TimerService
   /**
-   * Longest wait of a request for the first table, in ms.
-   * @default 1500, since a leader is elected within a second after all instances started together
+   * Maximum time that a request waits for the first routing table, in ms.
+   * @default 1500, since a leader is elected within a second after all instances have started together
    */
   readonly tableWaitMs?: number
   /**
-   * Seed of the choices that are drawn.
-   * @default drawn from the clock
+   * Seed of the random choices.
+   * @default derived from the clock
    */
   readonly seed?: number
 }
@@ -84,32 +84,32 @@
 export interface DirectRouter {
   readonly port: number
   readonly feed: FeedFollower
-  /** Says why callers should not be sent here, or undefined when they may. */
+  /** Returns why the router is not ready for callers, or undefined if it is. */
   findUnreadyReason(): string | undefined
   renderMetrics(): Promise<string>
   /**
-   * Ends as planned: says at once that it is not ready, serves on until callers have been sent
-   * elsewhere, then waits for what is in progress.
+   * Shuts down gracefully: reports not ready at once, keeps serving until callers have moved to other routers, then
+   * waits for the requests in progress, for `drainMs` at most.
    */
   close(drainMs: number): Promise<CloseReport>
 }
 
-/** Part of an engine's memory that is presumed to be left for cached parts beside running requests. */
-const ENGINE_CACHED_RATIO = 0.85
-/** Largest header block that is read, in bytes: twice what tables allow, which is checked later. */
+/** Fraction of an engine's cache memory presumed to hold cached prompt parts while requests are running. */
+const CACHED_MEMORY_RATIO = 0.85
+/** Maximum size of the request headers, in bytes: twice what routing tables allow, which is checked later. */
 const MAX_HEADER_BYTES = 32_768
 const DEFAULT_TABLE_WAIT_MS = 1_500
-/** Bounds before the first table, in ms. */
-const INITIAL_HEADER_MS = 3_000
-const INITIAL_IDLE_MS = 15_000
-/** Longest time to send a body, in ms. */
+/** Timeouts until the first routing table arrives, in ms. */
+const INITIAL_HEADERS_TIMEOUT_MS = 3_000
+const INITIAL_KEEP_ALIVE_MS = 15_000
+/** Timeout for receiving a request body, in ms. */
 const BODY_TIMEOUT_MS = 10_000
-/** Time for which a stopping router still serves, in ms: two questions for its readiness. */
-const SERVE_ON_MS = 2_600
-/** Idle time of connections to backend servers, in ms, and the margin before their own limit. */
+/** Time for which a router that shuts down still accepts requests, in ms: two readiness checks. */
+const READINESS_GRACE_MS = 2_600
+/** Idle timeout of connections to backend servers, and the margin before the servers' own timeout, in ms. */
 const BACKEND_IDLE_MS = 30_000
 const BACKEND_IDLE_MARGIN_MS = 1_200
-/** Servers with a limit in one log line. */
+/** Maximum number of rate-limited servers in one log line. */
 const MAX_LOGGED_LIMITS = 20
 
 function createInstruments(metrics: ReturnType<typeof createMetrics>): DirectInstruments {
@@ -128,7 +128,7 @@
   }
 }
 
-/** Formats the limits of servers for the log: requests a second, and the part of them that this router may use. */
+/** Formats rate limits of servers for the log: requests per second, and the share that this router may use. */
 function formatLimits({ servers, hasParts }: LimitsUpdate): Record<string, unknown> {
   const limited = servers.filter(({ perSecond }) => perSecond !== null)
   const shown = limited.slice(0, MAX_LOGGED_LIMITS)
@@ -141,7 +141,7 @@
   }
 }
 
-/** Starts to listen and returns the port. */
+/** Starts listening and returns the port. */
 function startListening(server: Server, host: string, port: number): Promise<number> {
   return new Promise((resolve, reject) => {
     server.once('error', reject)
@@ -153,13 +153,13 @@
   })
 }
 
-/** Creates a router and waits until it listens. */
+/** Creates a router and waits until it is listening. */
 export async function createDirectRouter(options: DirectRouterOptions): Promise<DirectRouter> {
   const { timers, logger, caller } = options
   const metrics = createMetrics('router')
   const client = createHttpClient()
   const random = createRandomSource(options.seed ?? Date.now() % 2 ** 31)
-  const board = createServerStats(timers)
+  const serverStats = createServerStats(timers)
   const backpressure = createBackpressure()
   const limits = createServerLimits()
   const rejectedInputs = createRejectedInputs({ logger, timers })
@@ -169,13 +169,13 @@
     probe: checkConnection,
     isRegistered: (id) => feed.current()?.servers.has(id) ?? false,
   })
-  const memory = createPrefixCacheIndex({ findCacheTokens: (place) => findCacheTokens(place) })
-  const findCacheTokens = (place: BackendServerId): number => {
+  const prefixCache = createPrefixCacheIndex({ findCacheTokens: (id) => findCacheTokens(id) })
+  const findCacheTokens = (holder: BackendServerId): number => {
     const view = feed.current()
-    const group = view?.servers.get(place)?.group
+    const group = view?.servers.get(holder)?.group
     const engine = group === undefined ? undefined : view?.index.findGroup(group)?.engine
-    if (engine) return engine.cacheTokens * ENGINE_CACHED_RATIO
-    // A place that is no server is a store.
+    if (engine) return engine.cacheTokens * CACHED_MEMORY_RATIO
+    // An id that belongs to no server belongs to a store.
     return Math.max(0, ...(view?.index.table.stores.map(({ cacheTokens }) => cacheTokens) ?? []))
   }
   const crashReports = createCrashReportBuffer(timers)
@@ -201,8 +201,9 @@
     random,
     logger,
     decodeTable: options.decodeTable,
-    listLoads: () => addBackoffs(board.listLoads(), backpressure.listBackingOff(timers.now())),
-    takePlacements: memory.takePlacements,
+    listLoads: () =>
+      addBackoffs(serverStats.listLoads(), backpressure.listBackingOff(timers.now())),
+    takePlacements: prefixCache.takePlacements,
     blame: crashReports,
     limits: {
       listUnreported: (term) => limits.listUnreported(term, timers.now()),
@@ -219,10 +220,10 @@
     onSuspects: quarantine.applySuspects,
     onTrial: quarantine.grantTrial,
     onPlacements: (placements) => {
-      for (const placement of placements) memory.recordPlacement(placement)
+      for (const placement of placements) prefixCache.recordPlacement(placement)
     },
     onKept: (placements) => {
-      for (const placement of placements) memory.confirmPlacement(placement)
+      for (const placement of placements) prefixCache.confirmPlacement(placement)
     },
   })
   const instruments = createInstruments(metrics)
@@ -261,12 +262,12 @@
     caller,
     backend: options.backend,
     agent,
-    serverStats: board,
+    serverStats,
     backpressure,
     limits,
     quotas,
     liveness,
-    prefixCache: memory,
+    prefixCache,
     enginePartition: createEnginePartition(timers),
     serviceTimes: createServiceTimes(),
     retryBudget: createRetryBudget({
@@ -286,11 +287,11 @@
     shutdown,
     maxProofAgeMs: options.maxProofAgeMs,
   }
-  /** A router that has just started gets its table within a second; its callers wait for that. */
+  /** Waits for the first routing table, which a router that has just started receives within a second. */
   const waitForTable = async ({ id, waitMs = Infinity }: DirectCall) => {
     const startedAt = timers.now()
-    const boundMs = Math.min(options.tableWaitMs ?? DEFAULT_TABLE_WAIT_MS, waitMs)
-    await firstValueFrom(race(feed.changes, timers.after(boundMs)), { defaultValue: undefined })
+    const maxWaitMs = Math.min(options.tableWaitMs ?? DEFAULT_TABLE_WAIT_MS, waitMs)
+    await firstValueFrom(race(feed.changes, timers.after(maxWaitMs)), { defaultValue: undefined })
     logger.info('call.waitedForTable', {
       request: id,
       ms: Math.round(timers.now() - startedAt),
@@ -299,7 +300,7 @@
   }
   const sockets = new Set<Socket>()
 
-  const serve = async (
+  const handleRequest = async (
     request: IncomingMessage,
     response: ServerResponse,
     tracked: TrackedRequest,
@@ -317,7 +318,7 @@
       const timeoutMs = Math.min(BODY_TIMEOUT_MS, shutdown.findBodyTimeoutMs())
       const body = await readBody(request, { maxBytes: maxBodyBytes, timeoutMs })
       if (response.destroyed) return
-      // Not before the body is read: a connection that ends with unread bytes may lose its answer.
+      // Refuse only after the body has been read: closing a connection with unread bytes may lose the response.
       const refusal = shutdown.findRefusal(plan)
       if (refusal) throw refusal
       await serveCall(parts, plan, body, response)
@@ -339,8 +340,8 @@
     }
   }
   const server = createServer({
-    headersTimeout: INITIAL_HEADER_MS,
-    keepAliveTimeout: INITIAL_IDLE_MS,
+    headersTimeout: INITIAL_HEADERS_TIMEOUT_MS,
+    keepAliveTimeout: INITIAL_KEEP_ALIVE_MS,
     maxHeaderSize: MAX_HEADER_BYTES,
     requestTimeout: 0,
     noDelay: true,
@@ -351,9 +352,9 @@
   })
   server.on('request', (request, response) => {
     const tracked = shutdown.track(request, response)
-    if (tracked) void serve(request, response, tracked)
+    if (tracked) void handleRequest(request, response, tracked)
   })
-  const boundsWatch = feed.changes.subscribe(({ index }) => {
+  const boundsSubscription = feed.changes.subscribe(({ index }) => {
     const { headerTimeoutMs, idleTimeoutMs } = index.table.bounds
     server.headersTimeout = headerTimeoutMs
     server.keepAliveTimeout = idleTimeoutMs
@@ -372,15 +373,15 @@
     renderMetrics: metrics.render,
     close: async (drainMs) => {
       shutdown.start(drainMs)
-      await waitFor(timers, Math.min(SERVE_ON_MS, drainMs))
-      // Timers run before sockets are read: what has arrived meanwhile is not idle.
+      await waitFor(timers, Math.min(READINESS_GRACE_MS, drainMs))
+      // Timers run before sockets are read; a request that has arrived meanwhile must not count as idle.
       await parts.turns.take()
       server.close()
       server.closeIdleConnections()
       await shutdown.waitUntilIdle()
       const abandoned = shutdown.reportCutOff()
       for (const socket of sockets) socket.destroy()
-      boundsWatch.unsubscribe()
+      boundsSubscription.unsubscribe()
       restartDetector.close()
       crashDetector.close()
       liveness.close()
