--- a/packages/control/src/registry/cacheDirectory.ts
+++ b/packages/control/src/registry/cacheDirectory.ts
@@ -63,7 +63,7 @@
   return location.kind === 'engine' ? location.id : `${location.address}/${location.epoch}`
 }
 
-function buildPlacement({ location: location, version, tokens }: VersionEntries): Placement {
+function buildPlacement({ location, version, tokens }: VersionEntries): Placement {
   return [location, version, ...[...tokens].flat()]
 }
 
--- a/packages/control/src/registry/cacheWatch.ts
+++ b/packages/control/src/registry/cacheWatch.ts
@@ -121,7 +121,7 @@
 
 /** Creates the watch and starts it. */
 export function createCacheWatch(options: CacheWatchOptions): CacheWatch {
-  const { member, machine, client: client, timers, logger } = options
+  const { member, machine, client, timers, logger } = options
   const stopping = new AbortController()
   // Each watched cache adds a listener; Node warns about more than ten by default.
   setMaxListeners(0, stopping.signal)
--- a/packages/router/src/direct/answerHead.ts
+++ b/packages/router/src/direct/responseHead.ts
@@ -1,28 +1,28 @@
-/** What the head of an answer says of a send, before anything of it is passed on. */
+/** Evaluates the head of a backend response before any of the response is forwarded. */
 import type { IncomingMessage } from 'node:http'
 import { recordResponseSignals } from './responseSignals.js'
 import type { CallPlan } from './callPlan.js'
 import type { Candidate } from './serverRanking.js'
 import type { DirectContext } from './directContext.js'
-import type { SendEnd } from './sendEnd.js'
+import type { AttemptOutcome } from './attemptOutcome.js'
 
-/** A head with the instant at which its request was sent, in ms of the monotonic clock. */
-export interface ReceivedHead {
+/** A response head and when its request was sent, in ms of the monotonic clock. */
+export interface ReceivedResponse {
   readonly message: IncomingMessage
   readonly sentAt: number
 }
 
-/** Judges a head; undefined where the answer is the server's own and may be passed on. */
-export function judgeHead(
+/** Checks a response head; returns undefined if the response is the server's own and may be forwarded. */
+export function checkResponseHead(
   parts: DirectContext,
   { call }: CallPlan,
   { server }: Candidate,
-  { message, sentAt }: ReceivedHead,
-): SendEnd | undefined {
-  const { backend, serverStats: board } = parts
+  { message, sentAt }: ReceivedResponse,
+): AttemptOutcome | undefined {
+  const { backend, serverStats } = parts
   const head = backend.decodeHead(message, call)
   recordResponseSignals(parts, call, server, { ...head, sentAt })
-  if (head.weightsVersion !== undefined) board.recordVersion(server.id, head.weightsVersion)
+  if (head.weightsVersion !== undefined) serverStats.recordVersion(server.id, head.weightsVersion)
   if (head.isNotExecuted) {
     message.resume()
     const reason = head.isOtherServer ? 'otherServer' : `status${message.statusCode}`
@@ -30,5 +30,8 @@
   }
   if (head.isAuthentic) return undefined
   message.destroy()
-  return { kind: 'lost', reason: `status ${message.statusCode} that is not its own answer` }
+  return {
+    kind: 'lost',
+    reason: `status ${message.statusCode} did not originate from the backend server`,
+  }
 }
--- /dev/null
+++ b/packages/router/src/direct/sendAttempt.ts
@@ -0,0 +1,127 @@
+/**
+ * One attempt to send a request to a backend server. Nothing is written until the connection is established and the
+ * final check has passed, so that the router knows for certain when nothing was sent.
+ */
+import {
+  request as startRequest,
+  type Agent,
+  type ClientRequest,
+  type IncomingMessage,
+} from 'node:http'
+import type { Socket } from 'node:net'
+import type { TimerService } from '@spoolgate/core'
+import type { HeaderList } from './protocols.js'
+
+/** Options of {@link startAttempt}. */
+export interface AttemptOptions {
+  readonly agent: Agent
+  readonly timers: TimerService
+  /** IP address and port. */
+  readonly address: string
+  readonly method: string
+  readonly target: string
+  /** Builds the headers immediately before sending; undefined forbids sending. */
+  readonly buildHeaders: () => HeaderList | undefined
+  readonly body: Buffer
+  /** Timeout for establishing the connection, in ms. */
+  readonly connectMs: number
+}
+
+/** Result of an attempt up to the response head. */
+export type AttemptResult =
+  | { readonly kind: 'head'; readonly message: IncomingMessage }
+  /** No byte was sent to the server. */
+  | { readonly kind: 'notSent'; readonly reason: string }
+  /** The final check before sending failed; no byte was sent. */
+  | { readonly kind: 'forbidden'; readonly reason: string }
+  /** The server may have run the request. */
+  | { readonly kind: 'lost'; readonly reason: string }
+
+/** An attempt in progress. */
+export interface SendAttempt {
+  readonly result: Promise<AttemptResult>
+  /** Whether the request has been written to the connection. */
+  wasWritten(): boolean
+  /** Enables TCP keep-alive probes, so that a connection that the peer no longer knows is reset while it is idle. */
+  enableKeepAliveProbes(): void
+  /** Cancels the attempt and closes its connection. */
+  cancel(): void
+}
+
+/** Idle time before the first TCP keep-alive probe, in ms; the minimum on Linux. */
+const KEEP_ALIVE_PROBE_DELAY_MS = 1_000
+
+/** Starts an attempt. */
+export function startAttempt(options: AttemptOptions): SendAttempt {
+  const [host, port] = options.address.split(':')
+  let isWritten = false
+  let isCancelled = false
+  let outgoing: ClientRequest | undefined
+
+  const result = new Promise<AttemptResult>((resolve) => {
+    const resolveFailure = (reason: string) =>
+      resolve({ kind: isWritten ? 'lost' : 'notSent', reason })
+    outgoing = startRequest({
+      host,
+      port: Number(port),
+      method: options.method,
+      path: options.target,
+      agent: options.agent,
+      setHost: false,
+    })
+    const clientRequest = outgoing
+    const connectTimer = options.timers.after(options.connectMs).subscribe(() => {
+      resolveFailure(`no connection within ${options.connectMs} ms`)
+      clientRequest.destroy()
+    })
+    const write = () => {
+      connectTimer.unsubscribe()
+      if (isCancelled) return
+      const headers = options.buildHeaders()
+      if (!headers) {
+        resolve({
+          kind: 'forbidden',
+          reason: 'deadline passed, caller disconnected or control unreachable',
+        })
+        clientRequest.destroy()
+        return
+      }
+      isWritten = true
+      for (const [name, value] of mergeRepeatedFields(headers)) clientRequest.setHeader(name, value)
+      clientRequest.end(options.body)
+    }
+    clientRequest.on('socket', (socket: Socket) => {
+      if (socket.connecting) socket.once('connect', write)
+      else write()
+    })
+    clientRequest.on('response', (message) => resolve({ kind: 'head', message }))
+    clientRequest.on('error', (cause) => {
+      connectTimer.unsubscribe()
+      resolveFailure(cause.message)
+    })
+    clientRequest.on('close', () => resolveFailure('the connection closed'))
+  })
+  return {
+    result,
+    wasWritten: () => isWritten,
+    enableKeepAliveProbes: () =>
+      void outgoing?.socket?.setKeepAlive(true, KEEP_ALIVE_PROBE_DELAY_MS),
+    cancel: () => {
+      isCancelled = true
+      outgoing?.destroy()
+    },
+  }
+}
+
+/** Merges repeated header fields into arrays, as Node's HTTP client expects. */
+function mergeRepeatedFields(headers: HeaderList): Map<string, string | string[]> {
+  const fields = new Map<string, string | string[]>()
+  const firstSpellings = new Map<string, string>()
+  for (const [name, value] of headers) {
+    const key = firstSpellings.get(name.toLowerCase()) ?? name
+    firstSpellings.set(name.toLowerCase(), key)
+    const existing = fields.get(key)
+    fields.set(key, existing === undefined ? value : [...[existing].flat(), value])
+  }
+  return fields
+}
--- a/packages/router/src/direct/serverRanking.ts
+++ b/packages/router/src/direct/serverRanking.ts
@@ -10,7 +10,11 @@
 import type { LivenessMonitor } from './livenessMonitor.js'
 import type { PrefixCacheIndex } from './prefixCacheIndex.js'
 import type { ServerStats } from './serverStats.js'
-import { isOpenTo, judgeServer, type VerdictParts } from './serverVerdict.js'
+import {
+  isSendAllowed,
+  checkServerAvailability,
+  type AvailabilityParts,
+} from './serverAvailability.js'
 import { LONG_PROMPT_TOKENS, type PromptLength, type EnginePartition } from './enginePartition.js'
 import type { ServiceTimes } from './serviceTimes.js'
 import {
@@ -56,7 +60,7 @@
 }
 
 /** State that the ranking reads. */
-export interface RankingContext extends VerdictParts {
+export interface RankingContext extends AvailabilityParts {
   readonly serverStats: ServerStats
   readonly prefixCache: PrefixCacheIndex
   readonly liveness: LivenessMonitor
@@ -168,7 +172,7 @@
   return isLongPromptEngine ? SHORT_AMONG_LONG_MS : 0
 }
 
-function hasOutdatedWeights({ view, now }: RankingInput, model: string, version: number): boolean {
+function isOutdated({ view, now }: RankingInput, model: string, version: number): boolean {
   const isOlder = version < (view.weights[model] ?? 0)
   return isOlder && now - (view.weightsSince[model] ?? -Infinity) > OUTDATED_AFTER_MS
 }
@@ -202,7 +206,7 @@
   let cost = expectedMs
   const recomputedTokens = Math.max(0, locations.countCachedAnywhere(version) - foundTokens)
   cost += recomputedTokens * RECOMPUTE_MS_PER_TOKEN
-  if (hasOutdatedWeights(input, prompt.model, version)) cost += OUTDATED_WEIGHTS_MS
+  if (isOutdated(input, prompt.model, version)) cost += OUTDATED_WEIGHTS_MS
   const isPreferred = server.id === locations.findPreferredEngine(version)
   if (isPreferred) {
     const uncachedSharedTokens = Math.max(0, countSharedTokens(prompt) - foundTokens)
@@ -278,7 +282,7 @@
 export function rankServers(context: RankingContext, input: RankingInput): Candidate[] {
   const { view, group, prompt, excluded, formatScope, now } = input
   const { serverStats, prefixCache, liveness, limits } = context
-  const isOpen = (id: BackendServerId) => isOpenTo(judgeServer(context, id, now))
+  const isOpen = (id: BackendServerId) => isSendAllowed(checkServerAvailability(context, id, now))
   const inGroup = [...view.servers.values()].filter(
     (server) => server.group === group.name && server.phase === 'ready',
   )
@@ -294,7 +298,7 @@
     )
   const { engine } = group
   const isSheddingHereOrElsewhere = ({ id }: RegisteredServer) =>
-    !isOpenTo(context.backpressure.judgeSend(id, now)) || isShedding(view, id)
+    !isSendAllowed(context.backpressure.judgeSend(id, now)) || isShedding(view, id)
   const acceptsNewPrefixes = (id: BackendServerId) =>
     isOpen(id) && !isShedding(view, id) && !limits.isLimited(id)
   const locationsInput = {
--- a/packages/router/src/direct/serverSelection.ts
+++ b/packages/router/src/direct/serverSelection.ts
@@ -4,8 +4,8 @@
 import { LOADING_MS, rankServers, type Candidate } from './serverRanking.js'
 import type { DirectContext } from './directContext.js'
 import { findRetryAfterSeconds, drawRetryAfterSeconds } from './errorResponses.js'
-import { formatChoice } from './sendRecord.js'
-import { judgeServer } from './serverVerdict.js'
+import { formatServerChoice } from './sendRecord.js'
+import { checkServerAvailability } from './serverAvailability.js'
 
 /** Greatest number of sends of one request, whatever their outcome; bounds the work for one that no server accepts. */
 const MAX_SENDS = 4
@@ -37,7 +37,7 @@
   const now = context.timers.now()
   const instants = [...plan.view.servers.values()]
     .filter(({ group, phase }) => group === plan.group.name && phase === 'ready')
-    .map(({ id }) => judgeServer(context, id, now))
+    .map(({ id }) => checkServerAvailability(context, id, now))
     .filter(({ kind }) => kind !== 'leaving')
     .map((verdict) => ('until' in verdict ? verdict.until : now))
   return instants.length === 0 ? now : Math.min(...instants)
@@ -99,6 +99,6 @@
     ? findDeadlineRefusal(context, plan, best, log)
     : undefined
   if (deadlineRefusal) return deadlineRefusal
-  log('call.choice', formatChoice(plan, best, allowed.at(1)))
+  log('call.choice', formatServerChoice(plan, best, allowed.at(1)))
   return { kind: 'server', candidate: best }
 }
