--- a/packages/control/src/__tests__/quarantineCoordinator.spec.ts
+++ b/packages/control/src/__tests__/quarantineCoordinator.spec.ts
@@ -13,8 +13,8 @@
 import { createControlMachine } from '../state/controlMachine.js'
 import { createQuarantineState } from '../state/quarantineState.js'
 
-const R = toRequestFingerprint('caller.request')
-const server = (name: string) => toBackendServerId(name)
+const REQUEST = toRequestFingerprint('caller.request')
+const toServer = (name: string) => toBackendServerId(name)
 
 function buildReport(change: Partial<CrashReport>): CrashReport {
   return { ended: [], answered: [], asked: [], untried: [], ...change }
@@ -22,12 +22,12 @@
 const report = (...servers: string[]) =>
   buildReport({
     ended: servers.map((name) => ({
-      server: server(name),
-      sends: [{ request: R, round: 0 }],
+      server: toServer(name),
+      sends: [{ request: REQUEST, round: 0 }],
     })),
   })
 
-/** A leader whose entries are applied at once, unless `isLost`. */
+/** Creates a leader whose log entries are applied immediately, or fail while `isLost` is set. */
 function createLeader() {
   const timers = createManualTimerService()
   const machine = createControlMachine()
@@ -42,7 +42,7 @@
     },
   }
   const { quarantine } = machine
-  const source = createQuarantineCoordinator({
+  const coordinator = createQuarantineCoordinator({
     member,
     quarantine,
     timers,
@@ -50,174 +50,184 @@
   })
   const settle = () => new Promise((resolve) => setImmediate(resolve))
   const record = async (reported: CrashReport) => {
-    const trial = source.record(reported)
+    const trial = coordinator.record(reported)
     await settle()
     return trial
   }
-  return { timers, machine, commands, state, source, record }
+  return { timers, machine, commands, state, coordinator, record }
 }
 
-describe('the judgement of requests under which servers end', () => {
-  it('puts a request into quarantine at the third server, whoever saw them', async () => {
-    const { source, record } = createLeader()
+describe('quarantine coordinator', () => {
+  it('quarantines a request at the third crashed server, whichever router reports it', async () => {
+    const { coordinator, record } = createLeader()
     await record(report('a', 'b'))
-    expect(source.list()).to.deep.equal([{ request: R, round: 0 }])
+    expect(coordinator.list()).to.deep.equal([{ request: REQUEST, round: 0 }])
     await record(report('b', 'a'))
-    expect(source.list()).to.deep.equal([{ request: R, round: 0 }])
+    expect(coordinator.list()).to.deep.equal([{ request: REQUEST, round: 0 }])
     await record(report('c'))
-    expect(source.list()).to.deep.equal([{ request: R, round: 1 }])
+    expect(coordinator.list()).to.deep.equal([{ request: REQUEST, round: 1 }])
   })
 
-  it('reports nothing of a request under which one server ended', async () => {
-    const { source, record } = createLeader()
+  it('does not list a request after one crash', async () => {
+    const { coordinator, record } = createLeader()
     await record(report('a'))
-    expect(source.list()).to.deep.equal([])
+    expect(coordinator.list()).to.deep.equal([])
   })
 
-  it('forgets what speaks against a request that was answered', async () => {
-    const { source, record } = createLeader()
+  it('discards the crashes of a request that was answered', async () => {
+    const { coordinator, record } = createLeader()
     await record(report('a', 'b'))
-    await record(buildReport({ answered: [R] }))
+    await record(buildReport({ answered: [REQUEST] }))
     await record(report('c', 'd'))
-    expect(source.list()).to.deep.equal([{ request: R, round: 0 }])
+    expect(coordinator.list()).to.deep.equal([{ request: REQUEST, round: 0 }])
   })
 
-  it('releases a request that was answered after all, also before its quarantine is in the log', async () => {
-    const { source, record } = createLeader()
+  it('releases a request that was answered, even before its quarantine is committed', async () => {
+    const { coordinator, record } = createLeader()
     await record(report('a', 'b', 'c'))
-    await record(buildReport({ answered: [R] }))
-    expect(source.list()).to.deep.equal([])
-    source.record(report('d', 'e', 'f'))
-    await record(buildReport({ answered: [R] }))
-    expect(source.list()).to.deep.equal([])
+    await record(buildReport({ answered: [REQUEST] }))
+    expect(coordinator.list()).to.deep.equal([])
+    coordinator.record(report('d', 'e', 'f'))
+    await record(buildReport({ answered: [REQUEST] }))
+    expect(coordinator.list()).to.deep.equal([])
   })
 
-  it('counts what routers report to a new leader again, and what is in the log only once', async () => {
-    const { source, record, state, commands } = createLeader()
+  it('counts crashes that routers report again to a new leader, and proposes no quarantine twice', async () => {
+    const { coordinator, record, state, commands } = createLeader()
     await record(report('a', 'b'))
     state.term = 2
     await record(report('a', 'b'))
-    expect(source.list()).to.deep.equal([{ request: R, round: 0 }])
+    expect(coordinator.list()).to.deep.equal([{ request: REQUEST, round: 0 }])
     await record(report('c'))
     state.term = 3
     await record(report('a', 'b', 'c', 'd', 'e', 'f'))
-    expect(source.list()).to.deep.equal([{ request: R, round: 1 }])
+    expect(coordinator.list()).to.deep.equal([{ request: REQUEST, round: 1 }])
     expect(commands).to.have.length(1)
   })
 
-  it('proposes a quarantine again whose entry was lost', async () => {
-    const { source, record, state } = createLeader()
+  it('proposes a quarantine again if its log entry was lost', async () => {
+    const { coordinator, record, state } = createLeader()
     state.isLost = true
     await record(report('a', 'b', 'c'))
     state.isLost = false
     await record(buildReport({}))
-    expect(source.list()).to.deep.equal([{ request: R, round: 1 }])
+    expect(coordinator.list()).to.deep.equal([{ request: REQUEST, round: 1 }])
   })
 
-  it('lets one router try it once each round is over, and refuses it for longer after each end', async () => {
-    const { source, record, timers } = createLeader()
+  it('grants one trial after each round, and quarantines for longer after each crash', async () => {
+    const { coordinator, record, timers } = createLeader()
     await record(report('a', 'b', 'c'))
-    const asked = buildReport({ asked: [R] })
+    const asked = buildReport({ asked: [REQUEST] })
     for (let round = 1; round <= 4; round += 1) {
       expect(await record(asked)).to.equal(undefined)
       timers.advance(findQuarantineMs(round) - 1)
       expect(await record(asked), `round ${round}`).to.equal(undefined)
       timers.advance(1)
-      expect(await record(asked), `round ${round}`).to.equal(R)
+      expect(await record(asked), `round ${round}`).to.equal(REQUEST)
       expect(await record(asked)).to.equal(undefined)
-      const sends = [{ request: R, round }]
-      await record(buildReport({ ended: [{ server: server(`x${round}`), sends }] }))
-      expect(source.list()).to.deep.equal([{ request: R, round: round + 1 }])
+      const sends = [{ request: REQUEST, round }]
+      await record(buildReport({ ended: [{ server: toServer(`x${round}`), sends }] }))
+      expect(coordinator.list()).to.deep.equal([{ request: REQUEST, round: round + 1 }])
     }
   })
 
-  it('lets one request be tried at a time', async () => {
+  it('grants trials for one request at a time', async () => {
     const { record, timers } = createLeader()
     const other = toRequestFingerprint('caller.other')
-    const sends = [R, other].map((request) => ({ request, round: 0 }))
-    const ended = ['a', 'b', 'c'].map((name) => ({ server: server(name), sends }))
+    const sends = [REQUEST, other].map((request) => ({ request, round: 0 }))
+    const ended = ['a', 'b', 'c'].map((name) => ({ server: toServer(name), sends }))
     await record(buildReport({ ended }))
-    const asked = buildReport({ asked: [R, other] })
+    const asked = buildReport({ asked: [REQUEST, other] })
     await record(asked)
     timers.advance(findQuarantineMs(1))
-    expect(await record(asked)).to.equal(R)
+    expect(await record(asked)).to.equal(REQUEST)
     expect(await record(asked)).to.equal(undefined)
-    await record(buildReport({ answered: [R] }))
+    await record(buildReport({ answered: [REQUEST] }))
     expect(await record(asked)).to.equal(other)
   })
 
-  it('lets it be tried again at once where nobody or no server was there', async () => {
+  it('grants a trial again immediately if it went unused', async () => {
     const { record, timers } = createLeader()
     await record(report('a', 'b', 'c'))
-    await record(buildReport({ asked: [R] }))
+    await record(buildReport({ asked: [REQUEST] }))
     timers.advance(findQuarantineMs(1))
-    expect(await record(buildReport({ asked: [R] }))).to.equal(R)
+    expect(await record(buildReport({ asked: [REQUEST] }))).to.equal(REQUEST)
     timers.advance(5_000)
-    expect(await record(buildReport({ asked: [R] }))).to.equal(undefined)
-    expect(await record(buildReport({ asked: [R], untried: [R] }))).to.equal(R)
+    expect(await record(buildReport({ asked: [REQUEST] }))).to.equal(undefined)
+    expect(await record(buildReport({ asked: [REQUEST], untried: [REQUEST] }))).to.equal(REQUEST)
   })
 
-  it('never lets harmless requests stay that are answered between any ends', async () => {
+  it('never keeps a request listed after it was answered, in any order of crashes and answers', async () => {
     const event = fc.oneof(fc.constant('answered'), fc.nat({ max: 9 }).map(String))
     await fc.assert(
       fc.asyncProperty(fc.array(event, { maxLength: 30 }), async (events) => {
-        const { source, record } = createLeader()
+        const { coordinator, record } = createLeader()
         for (const each of [...events, 'answered']) {
-          await record(each === 'answered' ? buildReport({ answered: [R] }) : report(each))
+          await record(each === 'answered' ? buildReport({ answered: [REQUEST] }) : report(each))
         }
-        expect(source.list()).to.deep.equal([])
+        expect(coordinator.list()).to.deep.equal([])
       }),
       { seed: 39, numRuns: 60 },
     )
   })
 })
 
-describe('requests in quarantine, as the log holds them', () => {
+describe('replicated quarantine state', () => {
   const request = (caller: number, index: number): RequestFingerprint =>
     toRequestFingerprint(`c${caller}.${index}`)
 
-  it('outlive a snapshot, and never go back to an earlier round', () => {
-    const state = createQuarantineState()
-    state.quarantine({ kind: 'request.quarantine', request: R, round: 2 })
-    state.quarantine({ kind: 'request.quarantine', request: R, round: 1 })
+  it('survives a snapshot, and never returns to an earlier round', () => {
+    const quarantineState = createQuarantineState()
+    quarantineState.quarantine({ kind: 'request.quarantine', request: REQUEST, round: 2 })
+    quarantineState.quarantine({ kind: 'request.quarantine', request: REQUEST, round: 1 })
     const restored = createQuarantineState()
-    restored.load(JSON.parse(JSON.stringify(state.save())) as ReturnType<typeof state.save>)
-    expect(restored.list()).to.deep.equal([{ request: R, round: 2 }])
-    restored.release({ kind: 'request.release', request: R })
+    restored.load(
+      JSON.parse(JSON.stringify(quarantineState.save())) as ReturnType<typeof quarantineState.save>,
+    )
+    expect(restored.list()).to.deep.equal([{ request: REQUEST, round: 2 }])
+    restored.release({ kind: 'request.release', request: REQUEST })
     expect(restored.list()).to.deep.equal([])
   })
 
-  it('of one caller push out none of another', () => {
-    const state = createQuarantineState()
-    state.quarantine({ kind: 'request.quarantine', request: R, round: 1 })
+  it('never evicts a request of one caller for those of another', () => {
+    const quarantineState = createQuarantineState()
+    quarantineState.quarantine({ kind: 'request.quarantine', request: REQUEST, round: 1 })
     for (let index = 0; index < 1_000; index += 1) {
-      state.quarantine({ kind: 'request.quarantine', request: request(1, index), round: 1 })
+      quarantineState.quarantine({
+        kind: 'request.quarantine',
+        request: request(1, index),
+        round: 1,
+      })
     }
-    expect(state.find(R)?.round).to.equal(1)
-    expect(state.find(request(1, 999))?.round).to.equal(1)
-    expect(state.list().length).to.be.below(200)
+    expect(quarantineState.find(REQUEST)?.round).to.equal(1)
+    expect(quarantineState.find(request(1, 999))?.round).to.equal(1)
+    expect(quarantineState.list().length).to.be.below(200)
   })
 
-  it('are bounded, however many callers there are', () => {
-    const state = createQuarantineState()
+  it('is bounded for any number of callers', () => {
+    const quarantineState = createQuarantineState()
     for (let caller = 0; caller < 2_000; caller += 1) {
-      state.quarantine({ kind: 'request.quarantine', request: request(caller, 1), round: 1 })
+      quarantineState.quarantine({
+        kind: 'request.quarantine',
+        request: request(caller, 1),
+        round: 1,
+      })
     }
-    expect(state.list().length).to.be.below(1_000)
+    expect(quarantineState.list().length).to.be.below(1_000)
   })
 })
 
-describe('what a router knows of requests under which servers ended', () => {
+describe('crash report buffer', () => {
   const create = () => {
     const timers = createManualTimerService()
     return { timers, record: createCrashReportBuffer(timers) }
   }
-  const send = { request: R, round: 0 }
+  const send = { request: REQUEST, round: 0 }
 
-  it('is reported once, and to each new leader again for a while', () => {
+  it('reports a crash once, and again to a new leader for a limited time', () => {
     const { timers, record } = create()
-    record.addCrash(server('a'), send)
-    const ended = [{ server: server('a'), sends: [send] }]
+    record.addCrash(toServer('a'), send)
+    const ended = [{ server: toServer('a'), sends: [send] }]
     expect(record.listUnreported(1).report.ended).to.deep.equal(ended)
     record.recordReported(record.listUnreported(1), 1)
     expect(record.listUnreported(1).report.ended).to.deep.equal([])
@@ -226,35 +236,35 @@
     expect(record.listUnreported(2).report.ended).to.deep.equal([])
   })
 
-  it('is reported with the next poll where a poll was lost', () => {
+  it('reports a crash again with the next poll if a poll was lost', () => {
     const { record } = create()
-    record.addCrash(server('a'), send)
+    record.addCrash(toServer('a'), send)
     record.listUnreported(1)
     expect(record.listUnreported(1).report.ended).to.have.length(1)
   })
 
-  it('counts by itself only while it was reported to no leader', () => {
+  it('counts crashes locally only until they are reported to a leader', () => {
     const { record } = create()
-    for (const name of ['a', 'b', 'b', 'c']) record.addCrash(server(name), send)
-    expect(record.countUnreportedCrashes(R)).to.equal(3)
+    for (const name of ['a', 'b', 'b', 'c']) record.addCrash(toServer(name), send)
+    expect(record.countUnreportedCrashes(REQUEST)).to.equal(3)
     record.recordReported(record.listUnreported(1), 1)
-    expect(record.countUnreportedCrashes(R)).to.equal(0)
+    expect(record.countUnreportedCrashes(REQUEST)).to.equal(0)
   })
 
-  it('is forgotten once the request was answered, which is reported once', () => {
+  it('discards the crashes of a request that was answered, and reports the answer once', () => {
     const { record } = create()
-    record.addCrash(server('a'), send)
-    record.addAnswered(R)
+    record.addCrash(toServer('a'), send)
+    record.addAnswered(REQUEST)
     const unreported = record.listUnreported(1)
-    expect(unreported.report).to.deep.equal(buildReport({ answered: [R] }))
+    expect(unreported.report).to.deep.equal(buildReport({ answered: [REQUEST] }))
     record.recordReported(unreported, 1)
     expect(record.listUnreported(2).report).to.deep.equal(buildReport({}))
   })
 
-  it('stays bounded, and names the most refused request first', () => {
+  it('is bounded, and lists the most frequently rejected request first', () => {
     const { record } = create()
     for (let index = 0; index < 5_000; index += 1) {
-      record.addCrash(server(`s${index}`), send)
+      record.addCrash(toServer(`s${index}`), send)
       record.addRejected(toRequestFingerprint(`c.${index % 100}`))
     }
     record.addRejected(toRequestFingerprint('c.7'))
--- a/packages/router/src/__tests__/crashDetector.spec.ts
+++ b/packages/router/src/__tests__/crashDetector.spec.ts
@@ -41,58 +41,58 @@
   }
   return {
     timers,
-    exits: detector,
-    ended: crashed,
-    tell: reportServer,
-    end: crash,
-    looks: () => checks,
+    detector,
+    crashed,
+    reportServer,
+    crash,
+    checks: () => checks,
   }
 }
 
-describe('sends that break off', () => {
-  it('show the end of a server that accepts no connections, with one look for all of them', async () => {
-    const { exits, ended, looks } = createDetector(false)
-    for (let send = 0; send < 3; send += 1) exits.recordInterrupted(SERVER, SEND)
+describe('interrupted sends', () => {
+  it('report the crash of a server that accepts no connections, with one check for all sends', async () => {
+    const { detector, crashed, checks } = createDetector(false)
+    for (let send = 0; send < 3; send += 1) detector.recordInterrupted(SERVER, SEND)
     await settle()
-    exits.recordInterrupted(SERVER, SEND)
-    expect(ended).to.deep.equal([SERVER.id, SERVER.id, SERVER.id, SERVER.id])
-    expect(looks()).to.equal(1)
+    detector.recordInterrupted(SERVER, SEND)
+    expect(crashed).to.deep.equal([SERVER.id, SERVER.id, SERVER.id, SERVER.id])
+    expect(checks()).to.equal(1)
   })
 
-  it('show nothing of a server that accepts connections', async () => {
-    const { exits, ended, timers, tell } = createDetector(true)
-    exits.recordInterrupted(SERVER, SEND)
+  it('report no crash of a server that accepts connections', async () => {
+    const { detector, crashed, timers, reportServer } = createDetector(true)
+    detector.recordInterrupted(SERVER, SEND)
     await settle()
-    tell('s@1', SERVER.address)
-    expect(ended).to.deep.equal([])
+    reportServer('s@1', SERVER.address)
+    expect(crashed).to.deep.equal([])
     timers.advance(10_000)
-    tell('s@2', SERVER.address)
-    expect(ended).to.deep.equal([])
+    reportServer('s@2', SERVER.address)
+    expect(crashed).to.deep.equal([])
   })
 
-  it('show the end of a server that was alive when an earlier one broke off', async () => {
-    const { exits, ended, end } = createDetector(true)
-    exits.recordInterrupted(SERVER, SEND)
+  it('report the crash of a server that was alive at an earlier interruption', async () => {
+    const { detector, crashed, crash } = createDetector(true)
+    detector.recordInterrupted(SERVER, SEND)
     await settle()
-    end()
-    exits.recordInterrupted(SERVER, SEND)
+    crash()
+    detector.recordInterrupted(SERVER, SEND)
     await settle()
-    expect(ended).to.deep.equal([SERVER.id])
+    expect(crashed).to.deep.equal([SERVER.id])
   })
 
-  it('show the end of a server whose later start is reported', async () => {
-    const { exits, ended, tell } = createDetector(true)
-    exits.recordInterrupted(SERVER, SEND)
+  it('report the crash of a server that is later reported to have restarted', async () => {
+    const { detector, crashed, reportServer } = createDetector(true)
+    detector.recordInterrupted(SERVER, SEND)
     await settle()
-    tell('s@2', SERVER.address)
-    expect(ended).to.deep.equal([SERVER.id])
+    reportServer('s@2', SERVER.address)
+    expect(crashed).to.deep.equal([SERVER.id])
   })
 
-  it('show nothing of a server that has left', async () => {
-    const { exits, ended, tell } = createDetector(true)
-    exits.recordInterrupted(SERVER, SEND)
+  it('report no crash of a server that has left the fleet', async () => {
+    const { detector, crashed, reportServer } = createDetector(true)
+    detector.recordInterrupted(SERVER, SEND)
     await settle()
-    tell('t@1', '10.0.0.2:80')
-    expect(ended).to.deep.equal([])
+    reportServer('t@1', '10.0.0.2:80')
+    expect(crashed).to.deep.equal([])
   })
 })
--- a/packages/router/src/__tests__/errorResponses.spec.ts
+++ b/packages/router/src/__tests__/errorResponses.spec.ts
@@ -7,8 +7,8 @@
   findRetryAfterSeconds,
 } from '../direct/errorResponses.js'
 
-describe('refusals', () => {
-  it('promise that nothing ran only where nothing can have run', () => {
+describe('error responses', () => {
+  it('state that the request did not run only if it cannot have run', () => {
     expect(createUnavailableError(false, 0.2)).to.include({ status: 503, notRun: true })
     expect(createUnavailableError(false, 0.2).retryAfterSeconds).to.equal(0.2)
     expect(createUnavailableError(true, 0.2)).to.include({ status: 502, notRun: false })
@@ -16,7 +16,7 @@
     expect(createTimeoutError(true)).to.include({ status: 504, notRun: false })
   })
 
-  it('come at once for a request that would wait too long, and say when to come back', () => {
+  it('are immediate for a request that cannot be served in time, with a bounded Retry-After', () => {
     expect(findRetryAfterSeconds(500, 6_000)).to.equal(undefined)
     expect(findRetryAfterSeconds(5_900, 6_000)).to.equal(undefined)
     expect(findRetryAfterSeconds(6_200, 6_000)).to.be.within(0.15, 0.25)
@@ -26,15 +26,15 @@
   })
 })
 
-describe('the rank of a request', () => {
-  it('is decided by the team, then by the route, and never leaves the scale', () => {
+describe('the priority of a request', () => {
+  it('depends on the team first and the route second, and is capped', () => {
     expect(rankPriority(undefined, 2)).to.equal(2)
     expect(rankPriority(0, 2)).to.be.below(rankPriority(1, 0))
     expect(rankPriority(1, 0)).to.be.below(rankPriority(1, 1))
     expect(rankPriority(99, 99)).to.equal(9)
   })
 
-  it('is the last for an answer that comes late in any case', () => {
+  it('is the lowest if the target latency is missed anyway', () => {
     const plan = { route: { targetMs: 600 } as RouteRule, priority: 4 }
     expect(rankSend(plan, 600)).to.equal(4)
     expect(rankSend(plan, 601)).to.equal(9)
--- a/packages/router/src/__tests__/gracefulShutdown.spec.ts
+++ b/packages/router/src/__tests__/gracefulShutdown.spec.ts
@@ -18,7 +18,7 @@
 
 const DRAIN_MS = 8_000
 
-/** Creates a request that comes on a connection of its own, and its answer. */
+/** Creates a request on its own connection, and its response. */
 function createExchange() {
   const socket = Object.assign(new EventEmitter(), { end: () => {} })
   const request = { socket, headers: {} }
@@ -29,22 +29,22 @@
   }
 }
 
-describe('what a planned stop reports', () => {
+describe('logs of a graceful shutdown', () => {
   let timers: ManualTimerService
   let lines: string[]
-  let counted: number
+  let cutOffCount: number
   let shutdown: GracefulShutdown
 
   beforeEach(() => {
     timers = createManualTimerService()
     lines = []
-    counted = 0
+    cutOffCount = 0
     const logger = createLogger({ write: (line) => lines.push(line) })
-    const cutOff = { add: (count: number) => (counted += count) } as unknown as Counter
+    const cutOff = { add: (count: number) => (cutOffCount += count) } as unknown as Counter
     shutdown = createGracefulShutdown({ timers, logger, cutOff })
   })
 
-  /** Lines of one event, without time and level. */
+  /** Lists the log lines of one event, without time and level. */
   const listLines = (event: string) =>
     lines
       .filter((line) => line.includes(` event=${event} `))
@@ -59,7 +59,7 @@
     return response
   }
 
-  it('names at its begin what is in progress, the streams among it, and when it ends', () => {
+  it('state at the start the requests in progress, how many of them are streams, and the time left', () => {
     addCall('r-1', 60_000, true)
     addCall('r-2', 60_000, false)
     addCall('r-3', 60_000, true).emit('close')
@@ -67,7 +67,7 @@
     expect(listLines('router.stopping')).to.deep.equal(['inProgress=2 streams=1 stopsInMs=8000'])
   })
 
-  it('names each request that it cuts off with what decided it, and counts them', async () => {
+  it('list each request that is cut off with its age and time left, and count them', async () => {
     addCall('r-1', 60_000, true).headersSent = true
     timers.advance(1_000)
     shutdown.start(DRAIN_MS)
@@ -82,10 +82,10 @@
       'request=r-2 route=orders ms=7520 leftMs=1480 hasBegun=false isLate=true',
     ])
     expect(listLines('router.stopped')).to.deep.equal(['abandoned=2 ms=8020'])
-    expect(counted).to.equal(2)
+    expect(cutOffCount).to.equal(2)
   })
 
-  it('names no request where all were answered', async () => {
+  it('list no request if all were answered', async () => {
     const response = addCall('r-1', 60_000, true)
     shutdown.start(DRAIN_MS)
     response.emit('close')
@@ -93,10 +93,10 @@
     expect(shutdown.reportCutOff()).to.equal(0)
     expect(listLines('call.cutOff')).to.deep.equal([])
     expect(listLines('router.stopped')).to.deep.equal(['abandoned=0 ms=0'])
-    expect(counted).to.equal(0)
+    expect(cutOffCount).to.equal(0)
   })
 
-  it('names one that was cut off before it was known what it is', () => {
+  it('list a request that was cut off before its head was read', () => {
     const { request, response } = createExchange()
     shutdown.track(request, response)
     shutdown.start(0)
@@ -105,30 +105,30 @@
     expect(line).to.equal('request=- route=- ms=0 leftMs=- hasBegun=false isLate=false')
   })
 
-  it('bounds its lines, and counts what has none', () => {
+  it('list at most 100 requests, but count all of them', () => {
     for (let number = 0; number < 130; number += 1) addCall(`r-${number}`, 60_000, true)
     shutdown.start(0)
     shutdown.reportCutOff()
     expect(listLines('call.cutOff')).to.have.length(100)
     expect(listLines('router.stopped')).to.deep.equal(['abandoned=130 ms=0'])
-    expect(counted).to.equal(130)
+    expect(cutOffCount).to.equal(130)
   })
 })
 
-describe('what a planned stop takes', () => {
+describe('admission during a graceful shutdown', () => {
   const timers = createManualTimerService()
   const cutOff = { add: () => {} } as unknown as Counter
   const logger = createQuietLogger()
   const shutdown = createGracefulShutdown({ timers, logger, cutOff })
   const createPlan = (limitMs: number) => ({ deadline: timers.now() + limitMs }) as CallPlan
 
-  it('is everything while no stop is under way', () => {
+  it('accepts every request while no shutdown is in progress', () => {
     expect(shutdown.findRefusal(createPlan(1e9))).to.equal(undefined)
     expect(shutdown.isStopping()).to.equal(false)
     expect(shutdown.findBodyTimeoutMs()).to.equal(Infinity)
   })
 
-  it('is what ends by its own limit while the final answer can still be given', () => {
+  it('accepts requests whose deadline leaves time for an error response before the end', () => {
     shutdown.start(DRAIN_MS)
     expect(shutdown.findRefusal(createPlan(7_900))).to.equal(undefined)
     for (const limitMs of [7_901, 8_000, 15_000]) {
@@ -143,7 +143,7 @@
     }
   })
 
-  it('becomes less as its end comes nearer', () => {
+  it('accepts only shorter deadlines as the end approaches', () => {
     timers.advance(7_000)
     expect(shutdown.findRefusal(createPlan(900))).to.equal(undefined)
     expect(shutdown.findRefusal(createPlan(901))).to.be.instanceOf(SpoolgateError)
--- a/packages/router/src/__tests__/quarantineSimulation.spec.ts
+++ b/packages/router/src/__tests__/quarantineSimulation.spec.ts
@@ -1,7 +1,7 @@
 /**
- * The load that the quarantine answers, in virtual time: harmful requests that come again at every router beside ordinary
- * requests and one harmless body that many send. The bounds are the users': three sends once all can know of the third
- * end, and 97 of 100 harmless requests answered a few seconds later.
+ * Tests the quarantine in virtual time under harmful requests that are retried at every router, beside ordinary requests
+ * and one harmless body sent by many callers. Required: at most three sends of a harmful request after its third crash is
+ * known, and 97 of 100 harmless requests answered a few seconds later.
  */
 import { expect } from 'chai'
 import {
@@ -13,7 +13,7 @@
 
 const MAX_LATE_SENDS = 3
 const MIN_ANSWERED_SHARE = 0.97
-/** The users' bound on recovery once machines are back, in ms. */
+/** Required recovery time once servers have restarted, in ms. */
 const RECOVERY_MS = 12_000
 
 const SMALL: QuarantineSimulationOptions = {
@@ -35,12 +35,13 @@
   return answered / sent
 }
 
-describe('harmful requests that come again and again', () => {
+describe('harmful requests that are retried', () => {
   for (const size of SIZES) {
-    it(`reach three servers more at most: ${size.routers} routers, ${size.servers} servers`, async () => {
-      const { lateSends, ordinary, popular, harmlessHeld } = await runQuarantineSimulation(size)
+    it(`reach at most three more servers: ${size.routers} routers, ${size.servers} servers`, async () => {
+      const { lateSends, ordinary, popular, harmlessQuarantined } =
+        await runQuarantineSimulation(size)
       expect(Math.max(...lateSends)).to.be.at.most(MAX_LATE_SENDS)
-      // The last ones are in flight when the simulation ends.
+      // Requests in flight at the end of the simulation are not counted.
       const countUnanswered = ({ sent, answered }: RequestCount) => sent - answered
       expect(measureShare(ordinary), `${countUnanswered(ordinary)} unanswered`).to.be.at.least(
         MIN_ANSWERED_SHARE,
@@ -48,11 +49,11 @@
       expect(measureShare(popular), `${countUnanswered(popular)} unanswered`).to.be.at.least(
         MIN_ANSWERED_SHARE,
       )
-      expect(harmlessHeld).to.be.at.most(size.servers)
+      expect(harmlessQuarantined).to.be.at.most(size.servers)
     })
   }
 
-  it('stay known when the leader changes and all routers start again, whenever that is', async () => {
+  it('stay quarantined when the leader changes and all routers restart, at any time', async () => {
     for (let seed = 1; seed <= 12; seed += 1) {
       const at = 250 * seed
       const changes = { leaderChanges: [at, at + 3_000], routerStarts: [at + 100, at + 6_000] }
@@ -66,8 +67,8 @@
   })
 })
 
-describe('servers that all end at once, again and again, with nobody to blame', () => {
-  it('leave what many callers ask answered within the time that users allow for recovery', async () => {
+describe('repeated crashes of all servers that no request causes', () => {
+  it('do not quarantine a popular request beyond the required recovery time', async () => {
     for (let seed = 1; seed <= 8; seed += 1) {
       const powerLosses = [1_000, 3_800, 6_600]
       const countedFrom = 6_600 + RESTART_MS + RECOVERY_MS
--- a/packages/router/src/__tests__/quarantineSimulation.ts
+++ b/packages/router/src/__tests__/quarantineSimulation.ts
@@ -1,6 +1,6 @@
 /**
- * Harmful requests beside harmless ones, in virtual time and without a network: real quarantines of routers, the real
- * judgement of a leader and its replicated state, on stand-in servers that end under what is harmful.
+ * Simulates harmful requests beside harmless ones in virtual time, without a network: uses the real router quarantines,
+ * quarantine coordinator and replicated state, with simulated servers that crash under harmful requests.
  */
 import {
   createCrashReportBuffer,
@@ -19,66 +19,66 @@
 } from '@spoolgate/core'
 import { createRequestQuarantine, type RequestQuarantine } from '../direct/requestQuarantine.js'
 
-/** What is shown. */
+/** Parameters of a simulation. */
 export interface QuarantineSimulationOptions {
   readonly routers: number
   readonly servers: number
-  /** Harmful requests, each sent again every 250 ms. */
+  /** Number of harmful requests, each sent every 250 ms. */
   readonly harmful: number
-  /** Ordinary requests a second, each with a body of its own. */
+  /** Rate of ordinary requests, each with its own body. */
   readonly ordinaryPerSecond: number
-  /** Harmless requests a second that all bear one body. */
+  /** Rate of harmless requests that all have the same body. */
   readonly popularPerSecond: number
   readonly seed: number
-  /** Instants at which another leader takes over, and at which all routers start again, in ms. */
+  /** Times at which another leader takes over, and at which all routers restart, in ms. */
   readonly leaderChanges?: readonly number[]
   readonly routerRestarts?: readonly number[]
-  /** Instants at which all servers end at once with nobody to blame, in ms. */
+  /** Times at which all servers crash at once without being caused by a request, in ms. */
   readonly powerLosses?: readonly number[]
   /**
-   * From here on harmless requests are counted, in ms.
+   * Time from which harmless requests are counted, in ms.
    * @default {@link SETTLED_MS}
    */
   readonly countedFrom?: number
   readonly durationMs: number
 }
 
-/** What became of one kind of request. */
+/** Sent and answered requests of one kind. */
 export interface RequestCount {
   sent: number
   answered: number
 }
 
-/** What a play showed. */
+/** Results of a simulation. */
 export interface QuarantineSimulationResult {
-  /** Ends of servers under harmful requests. */
+  /** Crashes of servers under harmful requests. */
   readonly crashes: number
-  /** By harmful request, sends later than the allowed time after the third end under it. */
+  /** By harmful request: sends later than {@link REPORT_DELAY_MS} after the third crash under it. */
   readonly lateSends: readonly number[]
-  /** Counts of requests that were sent from {@link QuarantineSimulationOptions.countedFrom} on, but for the last ones. */
+  /** Requests sent from {@link QuarantineSimulationOptions.countedFrom} on, except for the last {@link UNCOUNTED_MS}. */
   readonly ordinary: RequestCount
   readonly popular: RequestCount
   /** Harmless requests in quarantine at the end. */
-  readonly harmlessHeld: number
+  readonly harmlessQuarantined: number
 }
 
-/** Time after the third end within which routers may not know of it, in ms. */
+/** Time after the third crash within which routers need not know of it yet, in ms. */
 export const REPORT_DELAY_MS = 3_000
-/** Time after which harmless requests should be answered beside harmful ones, in ms. */
+/** Time after which harmless requests must be answered despite harmful ones, in ms. */
 export const SETTLED_MS = 9_000
-/** Before the end, what is sent is not counted: it may be in flight when the simulation ends. */
+/** Requests sent this long before the end are not counted, as they may be in flight at the end, in ms. */
 const UNCOUNTED_MS = 2_500
 const CRASHES_ALLOWED = 3
 const STEP_MS = 10
 const HARMFUL_PERIOD_MS = 250
-/** From the start of a harmful request to the end of its server, in ms. */
+/** Time from the start of a harmful request to the crash of its server, in ms. */
 const CRASH_AFTER_MS = 40
-/** From the end of a server to its next start, in ms. */
+/** Time from the crash of a server to its restart, in ms. */
 export const RESTART_MS = 2_500
-const WORK_MIN_MS = 100
-const WORK_SPREAD_MS = 900
-/** Time in which a router sees that a server ended, and a leader's entry is in the log, in ms. */
-const DELAY_MS = 20
+const MIN_WORK_MS = 100
+const WORK_JITTER_MS = 900
+/** Time until a router detects a crash, and until a log entry of the leader is committed, in ms. */
+const DETECTION_DELAY_MS = 20
 const POLL_MS = 100
 const POLL_MS_PER_ROUTER = 2
 const MAX_SENDS = 2
@@ -96,18 +96,18 @@
   id: BackendServerId
   starts: number
   isUp: boolean
-  /** Called for each request that it runs when it ends. */
+  /** Callbacks of the running requests, called when the server crashes. */
   readonly running: Set<() => void>
 }
 
 interface SimulatedRouter {
   quarantine: RequestQuarantine
-  record: ReturnType<typeof createCrashReportBuffer>
+  crashReports: ReturnType<typeof createCrashReportBuffer>
   term: number
   suspectsSeen: number | undefined
 }
 
-/** Simulates a load and reports what became of it. */
+/** Runs a simulation and returns its results. */
 export async function runQuarantineSimulation(
   options: QuarantineSimulationOptions,
 ): Promise<QuarantineSimulationResult> {
@@ -122,16 +122,16 @@
     status: () => ({ term }) as never,
     propose: (command: unknown) =>
       new Promise<unknown>((resolve) => {
-        after(DELAY_MS, () => resolve(machine.apply(command, 1)))
+        after(DETECTION_DELAY_MS, () => resolve(machine.apply(command, 1)))
       }),
   }
   const createLeader = () =>
     createQuarantineCoordinator({ member, quarantine: machine.quarantine, timers, logger })
   let leader = createLeader()
   const createRouter = (): SimulatedRouter => {
-    const record = createCrashReportBuffer(timers)
-    const quarantine = createRequestQuarantine({ crashReports: record, timers, logger })
-    return { quarantine, record, term: 0, suspectsSeen: undefined }
+    const crashReports = createCrashReportBuffer(timers)
+    const quarantine = createRequestQuarantine({ crashReports, timers, logger })
+    return { quarantine, crashReports, term: 0, suspectsSeen: undefined }
   }
   const routers = Array.from({ length: options.routers }, createRouter)
   const servers = Array.from({ length: options.servers }, (_, index): SimulatedServer => {
@@ -144,9 +144,9 @@
   const popular: RequestCount = { sent: 0, answered: 0 }
 
   const pollLeader = (router: SimulatedRouter) => {
-    const unreported = router.record.listUnreported(router.term)
+    const unreported = router.crashReports.listUnreported(router.term)
     const trial = leader.record(unreported.report)
-    router.record.recordReported(unreported, term)
+    router.crashReports.recordReported(unreported, term)
     if (router.term !== term || router.suspectsSeen !== leader.revision()) {
       router.quarantine.applySuspects(
         JSON.parse(JSON.stringify(leader.list())) as SuspectedRequest[],
@@ -161,7 +161,7 @@
     const periodMs = Math.max(POLL_MS, options.routers * POLL_MS_PER_ROUTER)
     after(periodMs * (0.5 + random.next()), () => poll(index))
   }
-  /** A router serves nobody before its first answer from control, which brings the table and the suspects. */
+  /** Restarts a router and polls at once: a router serves no requests before its first response from control. */
   const restartRouter = (index: number) => {
     routers[index] = createRouter()
     pollLeader(routers[index])
@@ -186,22 +186,22 @@
   const findHarmfulIndex = ({ fingerprint }: SimulatedRequest) => Number(fingerprint.split('.')[1])
   const countSend = (request: SimulatedRequest) => {
     if (!request.isHarmful) return
-    const thirdCrash = thirdCrashAt[findHarmfulIndex(request)] ?? Infinity
-    if (timers.now() > thirdCrash + REPORT_DELAY_MS) lateSends[findHarmfulIndex(request)] += 1
+    const crashedAt = thirdCrashAt[findHarmfulIndex(request)] ?? Infinity
+    if (timers.now() > crashedAt + REPORT_DELAY_MS) lateSends[findHarmfulIndex(request)] += 1
   }
   const send = (request: SimulatedRequest): void => {
     const router = routers[request.router]
     const { fingerprint } = request
     const admission = router.quarantine.admit(fingerprint)
-    const up = servers.filter(({ isUp }) => isUp)
+    const availableServers = servers.filter(({ isUp }) => isUp)
     if (admission.kind === 'refused' || request.sends >= MAX_SENDS) return
-    if (up.length === 0) return admission.returnTrial()
+    if (availableServers.length === 0) return admission.returnTrial()
     request.sends += 1
     countSend(request)
-    const server = random.choose(up)
+    const server = random.choose(availableServers)
     const { id } = server
     const interrupt = () => {
-      after(DELAY_MS, () => {
+      after(DETECTION_DELAY_MS, () => {
         router.quarantine.recordCrash(id, fingerprint, admission.round)
         send(request)
       })
@@ -215,7 +215,7 @@
       })
       return
     }
-    after(WORK_MIN_MS + random.next() * WORK_SPREAD_MS, () => {
+    after(MIN_WORK_MS + random.next() * WORK_JITTER_MS, () => {
       if (!server.running.delete(interrupt)) return
       router.quarantine.recordAnswered(fingerprint)
       if (request.count) request.count.answered += 1
@@ -234,7 +234,7 @@
     const router = random.nextInt(routers.length)
     send({ fingerprint, router, isHarmful, count: counted, sends: 0 })
   }
-  let serial = 0
+  let ordinaryCount = 0
   const repeat = (periodMs: number, run: () => void) => {
     after(periodMs * (0.5 + random.next()), () => {
       run()
@@ -243,8 +243,8 @@
   }
   routers.forEach((_, index) => poll(index))
   repeat(1_000 / options.ordinaryPerSecond, () => {
-    serial += 1
-    startRequest(toRequestFingerprint(`ordinary.${serial}`), false, ordinary)
+    ordinaryCount += 1
+    startRequest(toRequestFingerprint(`ordinary.${ordinaryCount}`), false, ordinary)
   })
   repeat(1_000 / options.popularPerSecond, () => startRequest(POPULAR, false, popular))
   for (let index = 0; index < options.harmful; index += 1) {
@@ -265,8 +265,8 @@
     timers.advance(STEP_MS)
     await new Promise((resolve) => setImmediate(resolve))
   }
-  const harmlessHeld = machine.quarantine
+  const harmlessQuarantined = machine.quarantine
     .list()
     .filter(({ request }) => !request.startsWith('harmful.')).length
-  return { crashes, lateSends, ordinary, popular, harmlessHeld }
+  return { crashes, lateSends, ordinary, popular, harmlessQuarantined }
 }
--- a/packages/router/src/__tests__/requestFingerprint.spec.ts
+++ b/packages/router/src/__tests__/requestFingerprint.spec.ts
@@ -19,19 +19,19 @@
 const TEAM: TeamEntry = { id: toTeamId('team-a'), keys: [], isIsolated: false, priority: 1 }
 const BODY = Buffer.from('a private question')
 
-describe('the fingerprint of a request', () => {
+describe('request fingerprint', () => {
   const hash = (
     change: Partial<DirectCall> = {},
     body = BODY,
     team: TeamEntry | undefined = TEAM,
   ) => hashRequest({ call: { ...CALL, ...change }, team }, body)
 
-  it('is the same when the caller sends it again, whatever its id, fields, wait or key', () => {
-    const again = { id: 'r-2', waitMs: 5, headers: [], key: 'a-newer-key', host: 'DESK.example' }
-    expect(hash(again)).to.equal(hash())
+  it('is the same for a retry, regardless of its id, headers, deadline, key and host case', () => {
+    const retry = { id: 'r-2', waitMs: 5, headers: [], key: 'a-newer-key', host: 'DESK.example' }
+    expect(hash(retry)).to.equal(hash())
   })
 
-  it('differs by path, body and caller', () => {
+  it('differs by method, host, path, body and caller', () => {
     const others = [
       hash({ target: '/ask/x?y=2' }),
       hash({ method: 'PUT' }),
@@ -43,14 +43,14 @@
     expect(new Set([hash(), ...others]).size).to.equal(others.length + 1)
   })
 
-  it('takes callers without a team for one, whatever keys they make up', () => {
+  it('counts all callers without a team as one, regardless of their keys', () => {
     const hashOpen = (key: string | undefined) =>
       hashRequest({ call: { ...CALL, key }, team: undefined }, BODY)
     expect(new Set([hashOpen('k'), hashOpen('l'), hashOpen(undefined)]).size).to.equal(1)
     expect(hashOpen('k')).to.not.equal(hash())
   })
 
-  it('begins alike for one caller, and shows neither key nor content', () => {
+  it('shares a prefix per caller, and has a fixed format that exposes neither key nor content', () => {
     const [caller] = hash().split('.')
     expect(hash({ target: '/other' }).split('.')[0]).to.equal(caller)
     expect(hash()).to.match(/^[\w-]{6}\.[\w-]{16}$/)
--- a/packages/router/src/__tests__/restartDetector.spec.ts
+++ b/packages/router/src/__tests__/restartDetector.spec.ts
@@ -8,51 +8,51 @@
   return { ...buildServerIdentity(toServerName(name), startedAt), address } as RegisteredServer
 }
 
-describe('backend servers that start again', () => {
-  function watchFleet() {
+describe('restarts of backend servers', () => {
+  function createDetector() {
     const views = new Subject<{ servers: ReadonlyMap<RegisteredServer['id'], RegisteredServer> }>()
     const closed: string[] = []
     const lines: string[] = []
-    const restarts = createRestartDetector({
+    const detector = createRestartDetector({
       views,
       agent: { closeIdle: (address) => void closed.push(address) },
       logger: createLogger({ write: (line) => void lines.push(line) }),
     })
-    const show = (...servers: RegisteredServer[]) =>
+    const updateFleet = (...servers: RegisteredServer[]) =>
       views.next({ servers: new Map(servers.map((server) => [server.id, server])) })
-    return { restarts, show, closed, lines }
+    return { detector, updateFleet, closed, lines }
   }
 
-  it('are reported to the calls of the earlier start, and its connections are closed', () => {
-    const { restarts, show, closed, lines } = watchFleet()
+  it('are reported to the calls of the previous incarnation, and its idle connections are closed', () => {
+    const { detector, updateFleet, closed, lines } = createDetector()
     const before = buildServer('i-1', 1_000, 'a:1')
     const other = buildServer('i-2', 1_000, 'a:2')
-    show(before, other)
+    updateFleet(before, other)
     const ended: string[] = []
-    restarts.watch(before.id).subscribe(() => ended.push('before'))
-    restarts.watch(other.id).subscribe(() => ended.push('other'))
-    show(before, other)
+    detector.watch(before.id).subscribe(() => ended.push('before'))
+    detector.watch(other.id).subscribe(() => ended.push('other'))
+    updateFleet(before, other)
     expect(ended).to.deep.equal([])
-    show(buildServer('i-1', 2_000, 'a:9'), other)
+    updateFleet(buildServer('i-1', 2_000, 'a:9'), other)
     expect(ended).to.deep.equal(['before'])
     expect(closed).to.deep.equal(['a:1'])
     expect(lines).to.have.length(1)
   })
 
-  it('are not those that left, or took over an address', () => {
-    const { restarts, show, closed } = watchFleet()
+  it('are not reported for servers that left or whose address was taken over', () => {
+    const { detector, updateFleet, closed } = createDetector()
     const before = buildServer('i-1', undefined, 'a:1')
-    show(before)
+    updateFleet(before)
     const ended: string[] = []
-    restarts.watch(before.id).subscribe(() => ended.push('before'))
-    show(buildServer('i-2', undefined, 'a:1'))
-    show()
+    detector.watch(before.id).subscribe(() => ended.push('before'))
+    updateFleet(buildServer('i-2', undefined, 'a:1'))
+    updateFleet()
     expect([...ended, ...closed]).to.deep.equal([])
   })
 })
 
-describe('a call to a server that starts again', () => {
-  /** Pauses between the parts of a stream, and the wait after the last, in ms. */
+describe('a call to a restarted server', () => {
+  /** Pause between the parts of a stream, and the time without data after the last part, in ms. */
   const PAUSE_MS = 400
   const LONG_MS = 5_000
 
@@ -78,8 +78,8 @@
     return { timers, restarted, events, sendParts }
   }
 
-  // Found by the soak, seed 1: requests that the later start was running already were given up.
-  it('goes on while parts of its answer come: the later start may have it', () => {
+  // Regression test: calls that already ran on the new incarnation were cancelled.
+  it('continues while data arrives, since it may run on the new incarnation', () => {
     const { timers, restarted, events, sendParts } = startCall()
     restarted.next()
     sendParts(10)
@@ -88,7 +88,7 @@
     expect(events).to.deep.equal(['restarted', 'silent 5000'])
   })
 
-  it('is silent a second after the restart where nothing came since', () => {
+  it('is stalled one second after the restart if no data has arrived since', () => {
     const { timers, restarted, events, sendParts } = startCall()
     sendParts(2)
     timers.advance(LONG_MS)
--- a/packages/router/src/direct/errorResponses.ts
+++ b/packages/router/src/direct/errorResponses.ts
@@ -15,8 +15,8 @@
  */
 export function findRetryAfterSeconds(expectedMs: number, leftMs: number): number | undefined {
   if (expectedMs <= leftMs) return undefined
-  const comeBackMs = Math.min(MAX_RETRY_AFTER_MS, expectedMs - leftMs)
-  return Math.max(MIN_RETRY_AFTER_S, comeBackMs / MS_PER_S)
+  const delayMs = Math.min(MAX_RETRY_AFTER_MS, expectedMs - leftMs)
+  return Math.max(MIN_RETRY_AFTER_S, delayMs / MS_PER_S)
 }
 
 /**
@@ -25,8 +25,8 @@
  */
 export function drawRetryAfterSeconds(retryAfterMs: number, random: RandomSource): number {
   if (retryAfterMs <= 0) return MIN_RETRY_AFTER_S
-  const spreadMs = Math.max(MIN_RETRY_AFTER_S * MS_PER_S, retryAfterMs * RETRY_AFTER_JITTER)
-  return Math.ceil(retryAfterMs + random.next() * spreadMs) / MS_PER_S
+  const jitterMs = Math.max(MIN_RETRY_AFTER_S * MS_PER_S, retryAfterMs * RETRY_AFTER_JITTER)
+  return Math.ceil(retryAfterMs + random.next() * jitterMs) / MS_PER_S
 }
 
 /** Creates the error response for a request whose outcome is unknown. */
@@ -39,10 +39,7 @@
   mayHaveRun: boolean,
   retryAfterSeconds = MIN_RETRY_AFTER_S,
 ): SpoolgateError {
-  if (mayHaveRun)
-    return createOutcomeUnknownError(
-      'the backend server closed the connection before answering; the request may have run',
-    )
+  if (mayHaveRun) return createOutcomeUnknownError('lost the connection to the backend server')
   const message = 'no backend server can accept the request at the moment; try again'
   return new SpoolgateError('noBackendServer', message, { retryAfterSeconds })
 }
@@ -50,7 +47,7 @@
 /** Creates the error response for a request quarantined for `leftMs` because backend servers crashed under it. */
 export function createQuarantineError(leftMs: number): SpoolgateError {
   const message =
-    'backend servers crashed while running this request; change it, or ask your operator to inspect them'
+    'backend servers crashed while running this request; change it, or contact your operator'
   return new SpoolgateError('quarantined', message, {
     retryAfterSeconds: Math.ceil(leftMs / MS_PER_S),
   })
@@ -66,7 +63,7 @@
   }
   return new SpoolgateError(
     'deadlineUnreachable',
-    'no backend server accepted the request before its deadline; try again',
+    'no backend server accepted the request in time; try again',
     {
       retryAfterSeconds: MIN_RETRY_AFTER_S,
     },
