--- a/packages/control/src/registry/feedSource.ts
+++ b/packages/control/src/registry/feedSource.ts
@@ -21,11 +21,11 @@
   type ServerLoads,
 } from './feed.js'
 import type { KeptParts } from './keptParts.js'
-import { createLimitParts } from './limitParts.js'
-import { createLoadSum } from './loadSum.js'
+import { createRateLimitAllocator } from './rateLimitAllocator.js'
+import { createLoadAggregator } from './loadAggregator.js'
 import { createPlacementLog } from './placementLog.js'
 import type { QuotaBuckets } from './quotaBuckets.js'
-import type { QuotaGrants, QuotaReport, QuotaStatus } from './quotaCredits.js'
+import type { QuotaGrants, QuotaReport, QuotaStatus } from './quotaProtocol.js'
 import { createServerChanges } from './serverChanges.js'
 import type { TableHistory } from '../table/tableHistory.js'
 import { measureUpdate, NO_TABLE_VERSION } from '../table/tableUpdate.js'
@@ -113,8 +113,8 @@
 /** Creates the source. */
 export function createFeedSource(options: FeedSourceOptions): FeedSource {
   const { member, machine, timers, blame } = options
-  const loads = createLoadSum({ timers, routerLifeMs: ROUTER_LIFE_MS })
-  const limits = createLimitParts({
+  const loads = createLoadAggregator({ timers, routerLifeMs: ROUTER_LIFE_MS })
+  const limits = createRateLimitAllocator({
     timers,
     listRouters: loads.listBusyRouters,
     isRegistered: (server) => machine.servers.find(server as BackendServerId) !== undefined,
@@ -181,7 +181,7 @@
     placements.add(request.router, request.placements)
     loads.record(request.router, request.loads)
     limits.record(request.limits ?? [])
-    if (request.quotas) options.quotas.settle(request.quotas)
+    if (request.quotas) options.quotas.applyReport(request.quotas)
     return request.blame && blame.record(request.blame)
   }
   const findTableVersion = () => machine.table.current()?.version ?? NO_TABLE_VERSION
@@ -216,7 +216,7 @@
       tableVersion: findTableVersion(),
       tableUpdate: findTableUpdate(request),
       routers: loads.countRouters(),
-      loads: loads.sumOthers(request.router),
+      loads: loads.sumExcept(request.router),
       placements: placements.listSince(
         request.router,
         isOfTerm(request) ? request.placementsSeen : 0,
@@ -256,13 +256,13 @@
     grantQuotas: (report) => {
       checkLeading()
       beginTerm()
-      return options.quotas.settle(report)
+      return options.quotas.applyReport(report)
     },
     listQuotas: () => {
       checkLeading()
       return options.quotas.list()
     },
     addKept: (placed) => changesOfKept.add(NOBODY, placed),
-    sumLoads: () => loads.sumOthers(undefined),
+    sumLoads: () => loads.sumExcept(undefined),
   }
 }
--- a/packages/control/src/registry/fleetOperations.ts
+++ b/packages/control/src/registry/fleetOperations.ts
@@ -69,8 +69,8 @@
 /** Name of an operation. */
 export type FleetOperationName = keyof FleetOperations
 
-/** Options of {@link createFleetOperator}. */
-export interface FleetOperatorOptions {
+/** Options of {@link createFleetOperationRunner}. */
+export interface FleetOperationRunnerOptions {
   readonly member: RaftMember
   readonly machine: ControlMachine
   readonly client: HttpClient
@@ -83,8 +83,8 @@
   readonly rejectedInputs: RejectedInputs
 }
 
-/** Runs operations; see {@link createFleetOperator}. */
-export interface FleetOperator {
+/** Runs operations; see {@link createFleetOperationRunner}. */
+export interface FleetOperationRunner {
   /**
    * Runs an operation at the leader, wherever it is.
    * @throws SpoolgateError `controlUnavailable` when it is not known whether it was carried out.
@@ -94,13 +94,13 @@
     input: FleetOperations[Name]['input'],
   ): Promise<FleetOperations[Name]['output']>
   /** Runs an operation here; for the leader only. */
-  runHere(name: string, input: unknown): Promise<unknown>
+  runLocally(name: string, input: unknown): Promise<unknown>
   /** Ms since this leader last received a heartbeat of a server, or since it leads. */
-  findSilenceMs(id: BackendServerId): number
+  findHeartbeatAgeMs(id: BackendServerId): number
 }
 
 /** Incarnations whose last heartbeat is remembered: several times those of a large fleet. */
-const MAX_HEARD = 5_000
+const MAX_TRACKED_SERVERS = 5_000
 /** Longest wait for the leader, in ms: callers turn to another instance after a second. */
 const LEADER_TIMEOUT_MS = 850
 
@@ -111,9 +111,11 @@
 }
 
 /** Creates the operator of one instance. */
-export function createFleetOperator(options: FleetOperatorOptions): FleetOperator {
+export function createFleetOperationRunner(
+  options: FleetOperationRunnerOptions,
+): FleetOperationRunner {
   const { member, machine, client, timers, logger } = options
-  const receivedAt = new LRUCache<BackendServerId, number>({ max: MAX_HEARD })
+  const receivedAt = new LRUCache<BackendServerId, number>({ max: MAX_TRACKED_SERVERS })
   let leadingTerm: number | undefined
   let leadingSince = timers.now()
   /** Heartbeats went to the leader before, so silence counts from the start of this leadership. */
@@ -125,22 +127,22 @@
     return leadingSince
   }
 
-  const findSilenceMs = (id: BackendServerId) =>
+  const findHeartbeatAgeMs = (id: BackendServerId) =>
     timers.now() - Math.max(receivedAt.get(id) ?? -Infinity, findLeadingSince())
   const signals = createServerSignals({
     servers: machine.servers,
     timers,
     logger,
     silentAfterMs: options.silentAfterMs,
-    findSilenceMs,
+    findHeartbeatAgeMs,
   })
-  const puts = createTablePuts({ member, table: machine.table, logger })
+  const tablePuts = createTablePuts({ member, table: machine.table, logger })
   /** An unknown group names no server to use; one that is registered stays registered. */
-  const isUsable = ({ id, group }: RegisteredServer) =>
+  const isAcceptable = ({ id, group }: RegisteredServer) =>
     options.isKnownGroup(group) || machine.servers.find(id) !== undefined
-  const observe: Handlers['observeServer'] = async ({ server, count }) => {
+  const observeServer: Handlers['observeServer'] = async ({ server, count }) => {
     const { id, name, group } = server
-    if (!isUsable(server)) {
+    if (!isAcceptable(server)) {
       options.rejectedInputs.record({
         source: 'heartbeat',
         from: name,
@@ -149,7 +151,7 @@
       return { phase: server.phase }
     }
     const known = machine.servers.find(id)
-    if (!signals.isCurrent(server, count)) return { phase: known?.phase ?? 'gone' }
+    if (!signals.admitHeartbeat(server, count)) return { phase: known?.phase ?? 'gone' }
     receivedAt.set(id, timers.now())
     if (known && isSameServer(known, mergeServer(known, server))) return { phase: known.phase }
     logger.info('server.observed', {
@@ -165,7 +167,7 @@
   const handlers: Handlers = {
     putTable: async ({ whole }) => {
       const table = applyTableUpdate(undefined, whole)
-      if (table) return puts.put(table)
+      if (table) return tablePuts.put(table)
       throw new SpoolgateError('invalidRequest', 'the table came damaged; send it again whole')
     },
     readTable: async ({ heldVersion }) => {
@@ -180,9 +182,9 @@
       logger.info('weights.named', { ...input, wanted: result.version })
       return result
     },
-    observeServer: observe,
+    observeServer,
     retireServer: async ({ name, startedAt }) => {
-      const leaving = signals.findLeaving(name, startedAt)
+      const leaving = signals.resolveLeave(name, startedAt)
       if (!leaving) return { phase: machine.servers.findByName(name)?.phase ?? 'gone' }
       const { id } = leaving
       const command = { kind: 'server.retire', id, phase: 'gone' } as const
@@ -191,7 +193,7 @@
       return result
     },
   }
-  const runHere = async (name: string, input: unknown): Promise<unknown> => {
+  const runLocally = async (name: string, input: unknown): Promise<unknown> => {
     const handler = handlers[name as FleetOperationName] as
       ((input: unknown) => Promise<unknown>) | undefined
     if (!handler)
@@ -200,7 +202,7 @@
   }
   const runAtLeader = async (name: string, input: unknown): Promise<unknown> => {
     const { role, leaderUrl } = member.status()
-    if (role === 'leader') return runHere(name, input)
+    if (role === 'leader') return runLocally(name, input)
     if (leaderUrl === undefined) {
       throw new SpoolgateError('controlUnavailable', 'no leader is known now; try again', {
         notRun: false,
@@ -216,7 +218,7 @@
   }
   return {
     run: (name, input) => runAtLeader(name, input) as Promise<never>,
-    runHere,
-    findSilenceMs,
+    runLocally,
+    findHeartbeatAgeMs,
   }
 }
--- a/packages/control/src/registry/placementLog.ts
+++ b/packages/control/src/registry/placementLog.ts
@@ -1,14 +1,14 @@
-/** The last placements of all routers, numbered, for those that have not received them. */
+/** Bounded log of the latest placements of all routers, by sequence number, from which routers fetch new entries. */
 import { MAX_PLACEMENTS_PER_REPLY, type Placement } from './feed.js'
 
-/** The log; see {@link createPlacementLog}. */
+/** See {@link createPlacementLog}. */
 export interface PlacementLog {
   add(router: string, placements: readonly Placement[]): void
-  /** Lists what other routers placed after a number; the newest of too many. */
+  /** Lists placements of other routers after a sequence number; only the newest when they exceed one reply. */
   listSince(router: string, seen: number): Placement[]
-  /** Number of the last placement. */
+  /** Sequence number of the last placement. */
   last(): number
-  /** Forgets everything, as a new leader must: its numbers start anew. */
+  /** Clears the log and restarts numbering, as a new leader must. */
   reset(): void
 }
 
@@ -17,32 +17,32 @@
   readonly placement: Placement
 }
 
-/** Placements that are kept: several replies' worth. */
+/** Maximum number of entries: enough for several replies. */
 const MAX_ENTRIES = 1_000
 
 /** Creates an empty log. */
 export function createPlacementLog(): PlacementLog {
   let entries: Entry[] = []
-  /** Number of the entry before the first that is kept. */
-  let base = 0
+  /** Number of entries dropped from the front, which is the sequence number before the first one kept. */
+  let removedCount = 0
   return {
     add: (router, placements) => {
       for (const placement of placements) entries.push({ router, placement })
       const surplus = entries.length - MAX_ENTRIES
       if (surplus <= 0) return
       entries = entries.slice(surplus)
-      base += surplus
+      removedCount += surplus
     },
     listSince: (router, seen) =>
       entries
-        .slice(Math.max(0, seen - base))
+        .slice(Math.max(0, seen - removedCount))
         .filter((entry) => entry.router !== router)
         .slice(-MAX_PLACEMENTS_PER_REPLY)
         .map(({ placement }) => placement),
-    last: () => base + entries.length,
+    last: () => removedCount + entries.length,
     reset: () => {
       entries = []
-      base = 0
+      removedCount = 0
     },
   }
 }
--- a/packages/router/src/__tests__/quotaCredits.spec.ts
+++ b/packages/router/src/__tests__/quotaCredits.spec.ts
@@ -1,5 +1,5 @@
 import {
-  CREDIT_LIFE_MS,
+  CREDIT_TTL_MS,
   createQuotaBuckets,
   formatQuotaKey,
   type QuotaGrants,
@@ -57,11 +57,11 @@
     const report: QuotaReport = credits.buildReport(uses, askedAt)
     if (fate === 'reportLost') return
     if (fate === 'reportLate') {
-      late.push(() => credits.applyGrants(buckets.settle(report), askedAt))
+      late.push(() => credits.applyGrants(buckets.applyReport(report), askedAt))
       return
     }
-    const grants: QuotaGrants = buckets.settle(report)
-    if (fate === 'doubled') buckets.settle(report)
+    const grants: QuotaGrants = buckets.applyReport(report)
+    if (fate === 'doubled') buckets.applyReport(report)
     if (fate === 'grantsLost') return
     if (fate === 'grantsLate') late.push(() => credits.applyGrants(grants, askedAt))
     else credits.applyGrants(grants, askedAt)
@@ -180,7 +180,7 @@
     const grants = [{ key, granted: 900, retryAfterMs: 0 }]
     credits.applyGrants({ term: 1, sequence: 1, grants, scarce: [key] }, 0)
     expect(credits.describe(use, 0).held).to.equal(900)
-    expect(credits.take(use, CREDIT_LIFE_MS + 1)).to.equal(false)
+    expect(credits.take(use, CREDIT_TTL_MS + 1)).to.equal(false)
   })
 
   it('of one unit are worth nothing in another: a limit in tokens becomes one in requests', () => {
--- /dev/null
+++ b/packages/router/src/direct/enginePartition.ts
@@ -0,0 +1,71 @@
+/**
+ * Partitions the engines of a group between long and short prompts. Engines prefill prompts in chunks between the
+ * tokens that they generate: beside long prompts, every generated token waits for a chunk of 70 ms. Engines are divided
+ * in proportion to the work of both kinds; all routers arrive at the same partition without communication, since all
+ * see the same mix of requests.
+ */
+import type { BackendServerId, TimerService } from '@spoolgate/core'
+import { hashText } from '@spoolgate/routing'
+
+/** Class of a generation request by the length of its prompt. */
+export type PromptLength = 'long' | 'short'
+
+/** Partition of engines; see {@link createEnginePartition}. */
+export interface EnginePartition {
+  /** Records the work of a request that is sent, in ms of engine time. */
+  recordWork(group: string, kind: PromptLength, workMs: number): void
+  /** Lists the engines that should take long prompts; undefined if the group is not partitioned. */
+  listLongPromptEngines(
+    group: string,
+    servers: readonly BackendServerId[],
+  ): ReadonlySet<BackendServerId> | undefined
+}
+
+/** Least tokens of a long prompt: half a prefill chunk. */
+export const LONG_PROMPT_TOKENS = 2_000
+/** Time constant of the work averages, in ms; covers several requests of each kind at each router. */
+const AVERAGING_TIME_MS = 10_000
+/** Least engines of a group that is partitioned. */
+const MIN_ENGINES = 3
+/** Least requests of each kind for the averages to be meaningful. */
+const MIN_REQUESTS = 5
+
+interface GroupWork {
+  long: number
+  short: number
+  longCount: number
+  shortCount: number
+  at: number
+}
+
+/** Creates a partition without recorded work. */
+export function createEnginePartition(timers: TimerService): EnginePartition {
+  const groups = new Map<string, GroupWork>()
+  const decayWork = (group: string): GroupWork => {
+    const now = timers.now()
+    const work = groups.get(group) ?? { long: 0, short: 0, longCount: 0, shortCount: 0, at: now }
+    groups.set(group, work)
+    const decay = Math.exp(-(now - work.at) / AVERAGING_TIME_MS)
+    work.long *= decay
+    work.short *= decay
+    work.at = now
+    return work
+  }
+  return {
+    recordWork: (group, kind, workMs) => {
+      const work = decayWork(group)
+      work[kind] += workMs
+      work[kind === 'long' ? 'longCount' : 'shortCount'] += 1
+    },
+    listLongPromptEngines: (group, servers) => {
+      const { long, short, longCount, shortCount } = decayWork(group)
+      const hasEnoughRequests = Math.min(longCount, shortCount) >= MIN_REQUESTS
+      if (servers.length < MIN_ENGINES || !hasEnoughRequests) return undefined
+      const share = long / (long + short)
+      const count = Math.round(share * servers.length)
+      const wanted = Math.min(servers.length - 1, Math.max(1, count))
+      const orderedByHash = [...servers].sort((a, b) => hashText(a) - hashText(b))
+      return new Set(orderedByHash.slice(0, wanted))
+    },
+  }
+}
--- /dev/null
+++ b/packages/router/src/direct/responseHead.ts
@@ -0,0 +1,37 @@
+/** Evaluates the head of a backend response before any of the response is forwarded. */
+import type { IncomingMessage } from 'node:http'
+import { recordResponseSignals } from './responseSignals.js'
+import type { CallPlan } from './callPlan.js'
+import type { Candidate } from './serverRanking.js'
+import type { DirectContext } from './directContext.js'
+import type { AttemptOutcome } from './attemptOutcome.js'
+
+/** A response head and when its request was sent, in ms of the monotonic clock. */
+export interface ReceivedResponse {
+  readonly message: IncomingMessage
+  readonly sentAt: number
+}
+
+/** Checks a response head; returns undefined if the response is the server's own and may be forwarded. */
+export function checkResponseHead(
+  parts: DirectContext,
+  { call }: CallPlan,
+  { server }: Candidate,
+  { message, sentAt }: ReceivedResponse,
+): AttemptOutcome | undefined {
+  const { backend, serverStats } = parts
+  const head = backend.decodeHead(message, call)
+  recordResponseSignals(parts, call, server, { ...head, sentAt })
+  if (head.weightsVersion !== undefined) serverStats.recordVersion(server.id, head.weightsVersion)
+  if (head.isNotExecuted) {
+    message.resume()
+    const reason = head.isOtherServer ? 'otherServer' : `status${message.statusCode}`
+    return { kind: 'notRun', reason, version: head.weightsVersion, backoff: head.backoff }
+  }
+  if (head.isAuthentic) return undefined
+  message.destroy()
+  return {
+    kind: 'lost',
+    reason: `status ${message.statusCode} did not originate from the backend server`,
+  }
+}
