--- a/packages/control/src/quarantine/crashReportBuffer.ts
+++ b/packages/control/src/quarantine/crashReportBuffer.ts
@@ -48,7 +48,7 @@
 
 /** How long outcomes are kept for a new leader, in ms: an election takes a second, restoring a lost majority longer. */
 const RETENTION_MS = 60_000
-/** Maximum number of outcomes kept, the newest: a production router has 75 requests in flight if all engines crash at once. */
+/** Maximum number of outcomes kept: a production router has 75 requests in flight if all engines crash at once. */
 const MAX_OUTCOMES = 1_000
 
 /** Maximum number of rejected requests per report: as many as one caller may have in quarantine. */
