--- a/packages/control/src/registry/rateLimitAllocator.ts
+++ b/packages/control/src/registry/rateLimitAllocator.ts
@@ -29,7 +29,7 @@
 
 /** Minimum rate of one router's share, in requests per second. */
 const MIN_SHARE_RATE = 0.75
-/** Delay before a new leader assigns shares, in ms: all routers poll it within that time, and keep their previous shares. */
+/** Delay before a new leader assigns shares, in ms: routers poll it within that time and keep their previous shares. */
 const FIRST_ASSIGNMENT_DELAY_MS = 1_500
 /** Minimum interval between refreshes of the router list, in ms. */
 const REFRESH_PERIOD_MS = 250
@@ -81,8 +81,8 @@
   }
   const removeExpired = (now: number) => {
     for (const [server, { perSecond, at }] of entries) {
-      const isForgotten = perSecond === null && now - at > WITHDRAWN_TTL_MS
-      if (!isForgotten && isRegistered(server)) continue
+      const isExpired = perSecond === null && now - at > WITHDRAWN_TTL_MS
+      if (!isExpired && isRegistered(server)) continue
       entries.delete(server)
       revision += 1
     }
