--- a/packages/control/src/__tests__/cacheWatch.spec.ts
+++ b/packages/control/src/__tests__/cacheWatch.spec.ts
@@ -9,12 +9,12 @@
 import { NEVER, type Observable } from 'rxjs'
 import {
   createCacheWatch,
-  type CacheCalls,
-  type CacheList,
-  type CacheNews,
+  type CacheClient,
+  type CacheSnapshot,
+  type CacheEvents,
 } from '../registry/cacheWatch.js'
-import type { KeptPlacement } from '../registry/feed.js'
-import { createKeptParts, type KeptPart } from '../registry/keptParts.js'
+import type { CachedPlacement } from '../registry/feed.js'
+import { createCacheDirectory, type CacheEntry } from '../registry/cacheDirectory.js'
 import type { RaftMember } from '../raft/types.js'
 import { createControlMachine, type ControlMachine } from '../state/controlMachine.js'
 import { buildServerIdentity } from '../state/serverState.js'
@@ -24,40 +24,40 @@
 const V1 = formatCacheScope(undefined, 1)
 const V2 = formatCacheScope(undefined, 2)
 
-function createPart(scope: string, id: string, tokens: number): KeptPart {
+function createEntry(scope: string, id: string, tokens: number): CacheEntry {
   return { scope, id, tokens }
 }
 
-describe('the index of kept parts', () => {
-  it('reports of each part what is left in the end, and lists it', () => {
-    const kept = createKeptParts()
-    const reported = kept.apply(ENGINE, [
-      createPart(V1, 'a', 60),
-      createPart(V1, 'b', 30),
-      createPart(V1, 'a', 0),
+describe('the cache directory', () => {
+  it('reports the final token count of each part, and lists the cached parts', () => {
+    const directory = createCacheDirectory()
+    const reported = directory.apply(ENGINE, [
+      createEntry(V1, 'a', 60),
+      createEntry(V1, 'b', 30),
+      createEntry(V1, 'a', 0),
     ])
     const [a, b] = [hashPart(V1, 'a'), hashPart(V1, 'b')]
     expect(reported).to.deep.equal([['e1', 1, a, 0, b, 30]])
-    expect(kept.list()).to.deep.equal([['e1', 1, b, 30]])
+    expect(directory.list()).to.deep.equal([['e1', 1, b, 30]])
   })
 
-  it('drops at an engine what was read under earlier weights, and keeps it at a store', () => {
-    const kept = createKeptParts()
+  it('drops parts of earlier weights at an engine, and retains them at a store', () => {
+    const directory = createCacheDirectory()
     for (const place of [ENGINE, STORE]) {
-      kept.apply(place, [createPart(V1, 'a', 60)])
-      kept.apply(place, [createPart(V2, 'a', 60)])
-      kept.apply(place, [createPart(V1, 'late', 60)])
+      directory.apply(place, [createEntry(V1, 'a', 60)])
+      directory.apply(place, [createEntry(V2, 'a', 60)])
+      directory.apply(place, [createEntry(V1, 'late', 60)])
     }
     const versions = (name: string) =>
-      kept.list().flatMap(([place, version]) => (place.startsWith(name) ? [version] : []))
+      directory.list().flatMap(([place, version]) => (place.startsWith(name) ? [version] : []))
     expect(versions('e1')).to.deep.equal([2])
     expect(versions('store')).to.deep.equal([1, 2])
   })
 
-  it('reports what is missing in a full list', () => {
-    const kept = createKeptParts()
-    kept.apply(STORE, [createPart(V1, 'a', 60), createPart(V1, 'b', 30)])
-    const reported = kept.replace(STORE, [createPart(V1, 'b', 30)])
+  it('reports parts that are missing from a full list as evicted', () => {
+    const directory = createCacheDirectory()
+    directory.apply(STORE, [createEntry(V1, 'a', 60), createEntry(V1, 'b', 30)])
+    const reported = directory.replace(STORE, [createEntry(V1, 'b', 30)])
     const name = formatStoreId('s:1', 7, 1)
     expect(reported).to.deep.equal([
       [name, 1, hashPart(V1, 'a'), 0],
@@ -65,35 +65,35 @@
     ])
   })
 
-  it('is listed in pieces, place by place, from where a router stands and once around', () => {
-    const kept = createKeptParts()
+  it('is paginated by location, from the cursor of a router and wrapping around once', () => {
+    const directory = createCacheDirectory()
     const ids = ['e1', 'e2', 'e3']
     for (const id of ids) {
-      const parts = [createPart(V1, 'a', 60), createPart(V1, 'b', 30)]
-      kept.apply({ kind: 'engine', id, address: id }, parts)
+      const parts = [createEntry(V1, 'a', 60), createEntry(V1, 'b', 30)]
+      directory.apply({ kind: 'engine', id, address: id }, parts)
     }
     const reported: string[][] = []
     let position = { after: 'e1', left: Number.MAX_SAFE_INTEGER }
     while (position.left > 0) {
-      const piece = kept.takePiece(position, 4)
+      const piece = directory.readPage(position, 4)
       reported.push(piece.placements.map(([place]) => place))
-      position = piece.position
+      position = piece.cursor
     }
     expect(reported).to.deep.equal([['e2', 'e3'], ['e1']])
-    expect(kept.takePiece(position, 4).placements).to.deep.equal([])
+    expect(directory.readPage(position, 4).placements).to.deep.equal([])
   })
 
-  it('reports one place at least, however many parts it keeps', () => {
-    const kept = createKeptParts()
-    kept.apply(ENGINE, [createPart(V1, 'a', 60), createPart(V1, 'b', 30)])
-    const piece = kept.takePiece({ after: '', left: Number.MAX_SAFE_INTEGER }, 1)
+  it('returns at least one location per page, however many parts it holds', () => {
+    const directory = createCacheDirectory()
+    directory.apply(ENGINE, [createEntry(V1, 'a', 60), createEntry(V1, 'b', 30)])
+    const piece = directory.readPage({ after: '', left: Number.MAX_SAFE_INTEGER }, 1)
     expect(piece.placements).to.have.length(1)
-    expect(piece.position.left).to.equal(0)
+    expect(piece.cursor.left).to.equal(0)
   })
 
-  it('takes no notice of parts under a scope that is not of the fleet', () => {
-    const kept = createKeptParts()
-    expect(kept.apply(ENGINE, [createPart('forged', 'a', 60)])).to.deep.equal([])
+  it('ignores parts with a scope that is not of the fleet', () => {
+    const directory = createCacheDirectory()
+    expect(directory.apply(ENGINE, [createEntry('forged', 'a', 60)])).to.deep.equal([])
   })
 })
 
@@ -108,48 +108,48 @@
     weights: [{ model: 'm', version: 1 }],
   }
 
-  /** Lets promises that are due settle. */
+  /** Lets pending promises settle. */
   const settle = async () => {
     for (let turn = 0; turn < 5; turn += 1) await new Promise((resolve) => setImmediate(resolve))
   }
 
   function createWatch(parts: {
-    calls: CacheCalls
+    calls: CacheClient
     machine: ControlMachine
     timers: TimerService
-    reported: KeptPlacement[]
+    reported: CachedPlacement[]
     elected?: Observable<number>
   }) {
     const { calls, machine, timers, reported, elected = NEVER } = parts
     return createCacheWatch({
       member: { status: () => ({ role: 'leader' }), elected } as unknown as RaftMember,
       machine,
-      calls,
+      client: calls,
       table: { current: () => undefined, isKnownGroup: () => true },
       timers,
       logger: createQuietLogger(),
-      onKept: (placements) => reported.push(...placements),
+      onCacheChanges: (placements) => reported.push(...placements),
     })
   }
 
-  async function watchNews(
-    news: (call: number, after: number) => CacheNews,
-    list: (call: number) => KeptPart[],
+  async function watchEvents(
+    news: (call: number, after: number) => CacheEvents,
+    list: (call: number) => CacheEntry[],
   ) {
     const timers = createManualTimerService()
     const machine = createControlMachine()
     machine.apply({ kind: 'server.observe', server }, 1)
-    const reported: KeptPlacement[] = []
-    const asked: number[] = []
-    let lists = 0
-    const calls: CacheCalls = {
+    const reported: CachedPlacement[] = []
+    const askedAfter: number[] = []
+    let snapshots = 0
+    const calls: CacheClient = {
       waitForChanges: async (_address, after) => {
-        asked.push(after)
-        return news(asked.length, after)
+        askedAfter.push(after)
+        return news(askedAfter.length, after)
       },
-      listParts: async () => {
-        lists += 1
-        return { epoch: 1, next: 5, parts: list(lists) }
+      fetchSnapshot: async () => {
+        snapshots += 1
+        return { epoch: 1, next: 5, parts: list(snapshots) }
       },
     }
     const watch = createWatch({ calls, machine, timers, reported })
@@ -160,18 +160,18 @@
     await settle()
     void watch.close()
     timers.advance(10_000)
-    return { reported, asked, lists }
+    return { reported, asked: askedAfter, lists: snapshots }
   }
 
-  it('begins with the whole list, and goes on after the last change that was reported to it', async () => {
-    const { reported, asked, lists } = await watchNews(
+  it('starts with a snapshot, and continues after the last reported change', async () => {
+    const { reported, asked, lists } = await watchEvents(
       (call) => ({
         epoch: 1,
         next: call * 10,
         hasGap: false,
-        changes: call === 1 ? [createPart(V1, 'a', 60)] : [],
+        changes: call === 1 ? [createEntry(V1, 'a', 60)] : [],
       }),
-      () => [createPart(V1, 'b', 30)],
+      () => [createEntry(V1, 'b', 30)],
     )
     expect(lists).to.equal(1)
     expect(asked.slice(0, 3)).to.deep.equal([5, 10, 20])
@@ -181,10 +181,10 @@
     ])
   })
 
-  it('asks for the whole list again where events are missing', async () => {
-    const { reported, asked } = await watchNews(
+  it('fetches the snapshot again after lost events', async () => {
+    const { reported, asked } = await watchEvents(
       (call) => ({ epoch: 1, next: 9, hasGap: call === 1, changes: [] }),
-      (call) => (call === 1 ? [createPart(V1, 'a', 60)] : [createPart(V1, 'b', 30)]),
+      (call) => (call === 1 ? [createEntry(V1, 'a', 60)] : [createEntry(V1, 'b', 30)]),
     )
     expect(asked.slice(0, 2)).to.deep.equal([5, 5])
     expect(reported).to.deep.equal([
@@ -194,15 +194,15 @@
     ])
   })
 
-  it('starts at the first change of a new life', async () => {
-    const { asked } = await watchNews(
+  it('starts at the first change of a new epoch', async () => {
+    const { asked } = await watchEvents(
       (call) => ({ epoch: call < 2 ? 1 : 2, next: 50, hasGap: false, changes: [] }),
       () => [],
     )
     expect(asked.slice(0, 4)).to.deep.equal([5, 50, 0, 50])
   })
 
-  /** Watches a number of engines whose lists come when they are released. */
+  /** Watches a number of engines whose snapshots resolve when they are released. */
   function watchEngines(count: number) {
     const timers = createManualTimerService()
     const machine = createControlMachine()
@@ -213,9 +213,9 @@
     }
     const listed: string[] = []
     const releases: (() => void)[] = []
-    const calls: CacheCalls = {
+    const calls: CacheClient = {
       waitForChanges: () => new Promise(() => {}),
-      listParts: (address) => {
+      fetchSnapshot: (address) => {
         listed.push(address)
         return new Promise((resolve) => {
           releases.push(() => resolve({ epoch: 1, next: 1, parts: [] }))
@@ -230,7 +230,7 @@
     return { timers, watch, listed, releaseAll }
   }
 
-  it('asks for 16 whole lists at a time, and comes to every place', async () => {
+  it('fetches at most 16 snapshots at a time, and reaches every engine', async () => {
     const { timers, watch, listed, releaseAll } = watchEngines(40)
     await settle()
     expect(listed).to.have.length(16)
@@ -244,21 +244,21 @@
     await closing
   })
 
-  describe('with a new leader', () => {
-    const answer: CacheList = { epoch: 1, next: 1, parts: [createPart(V1, 'a', 9)] }
+  describe('at a new leader', () => {
+    const answer: CacheSnapshot = { epoch: 1, next: 1, parts: [createEntry(V1, 'a', 9)] }
 
-    /** Watches one engine whose first answer comes when `release` is called. */
+    /** Watches one engine whose first snapshot resolves when `release` is called. */
     function watchSlowEngine() {
       const timers = createManualTimerService()
       const machine = createControlMachine()
-      const reported: KeptPlacement[] = []
-      let release: (list: CacheList) => void = () => {}
-      const calls: CacheCalls = {
+      const reported: CachedPlacement[] = []
+      let release: (list: CacheSnapshot) => void = () => {}
+      const calls: CacheClient = {
         waitForChanges: () => new Promise(() => {}),
-        listParts: () => new Promise((resolve) => (release = resolve)),
+        fetchSnapshot: () => new Promise((resolve) => (release = resolve)),
       }
       const watch = createWatch({ calls, machine, timers, reported })
-      // The engine is known only once the leader has applied its log.
+      // A leader learns of the engine only by applying its log.
       machine.apply({ kind: 'server.observe', server }, 1)
       let isReported = false
       void watch.waitForFirstAnswers().then(() => (isReported = true))
@@ -278,7 +278,7 @@
       }
     }
 
-    it('asks at once, and has everybody wait until the places have answered', async () => {
+    it('fetches at once, and makes callers wait until all engines have answered', async () => {
       const engine = watchSlowEngine()
       await settle()
       expect(engine.isReported()).to.equal(false)
@@ -289,7 +289,7 @@
       await engine.finish()
     })
 
-    it('waits no longer than 100 ms for a place that does not answer', async () => {
+    it('waits at most 100 ms for an engine that does not answer', async () => {
       const engine = watchSlowEngine()
       engine.timers.advance(99)
       await settle()
--- a/packages/control/src/__tests__/feedHerd.ts
+++ b/packages/control/src/__tests__/feedSimulation.ts
@@ -1,6 +1,6 @@
 /**
- * Routers that all start at once, in virtual time: real followers and real sources of the feed on a
- * stand-in network, whose links carry so many bytes and whose processors do so much work.
+ * Simulates routers that all start at once, in virtual time: real clients and sources of the feed on a simulated network
+ * with limited link bandwidth and processor speed.
  */
 import {
   ConnectionError,
@@ -20,52 +20,52 @@
 import { TABLE_PATH, type FeedRequest } from '../registry/feed.js'
 import { createCrashReportBuffer } from '../quarantine/crashReportBuffer.js'
 import { createQuarantineCoordinator } from '../quarantine/quarantineCoordinator.js'
-import { createFeedFollower, type FeedFollower } from '../registry/feedFollower.js'
+import { createFeedClient, type FeedClient } from '../registry/feedClient.js'
 import { createFeedSource, type FeedSource } from '../registry/feedSource.js'
 import { createTableSource, type TableRequest } from '../registry/tableSource.js'
 import { createTableHistory } from '../table/tableHistory.js'
-import { createKeptParts } from '../registry/keptParts.js'
+import { createCacheDirectory } from '../registry/cacheDirectory.js'
 import type { RaftMember } from '../raft/types.js'
 import { createControlMachine } from '../state/controlMachine.js'
 import { buildServerIdentity } from '../state/serverState.js'
 import { createUnlimitedQuotaBuckets, NO_LIMITS, NO_QUOTAS } from './routerRecordStubs.js'
 
-/** What starts, and on what. */
-export interface HerdOptions {
+/** Size of the simulated fleet and its resources. */
+export interface FeedSimulationOptions {
   readonly routers: number
   readonly engines: number
-  /** Prompt parts that each engine keeps. */
+  /** Prompt parts cached by each engine. */
   readonly partsPerEngine: number
-  /** Share of a core, and link, of a control instance. */
+  /** Cores and link bandwidth of a control instance. */
   readonly controlCores: number
   readonly controlMbps: number
-  /** The same of a router. */
+  /** Cores and link bandwidth of a router. */
   readonly routerCores: number
   readonly routerMbps: number
-  /** Ms after the start of the routers at which a leader is elected; it leads from then on. */
+  /** Time from the start of the routers to the election of the only leader, in ms. */
   readonly electedAt: number
-  /** Ms for which the leader is busy from then on with the lists of what engines keep. */
+  /** Time after the election for which cache snapshots keep the leader busy, in ms. */
   readonly listingMs: number
 }
 
-/** A herd. */
-export interface Herd {
-  readonly followers: readonly FeedFollower[]
+/** See {@link createFeedSimulation}. */
+export interface FeedSimulation {
+  readonly followers: readonly FeedClient[]
   readonly timers: ManualTimerService
-  /** By router, ms from the election to its first table; undefined for none yet. */
+  /** By router, time from the election to its first table, in ms; undefined if it has none. */
   readonly tableMs: readonly (number | undefined)[]
-  /** By router, parts that were reported to it. */
-  readonly keptParts: readonly number[]
-  /** What the routers have logged. */
-  readonly lines: readonly string[]
-  /** Longest time that the work of the leader was late, in ms: its heartbeats wait as long. */
+  /** By router, number of cached parts reported to it. */
+  readonly cachedParts: readonly number[]
+  /** Log lines of the routers. */
+  readonly logLines: readonly string[]
+  /** Longest backlog of the leader's processor, in ms; its heartbeats are delayed by as much. */
   longestLagMs(): number
-  /** Requests that reached the leader. */
-  asks(): number
-  /** Puts a table with so many routes; control accepts it at once. */
+  /** Number of requests that reached the leader. */
+  countLeaderRequests(): number
+  /** Installs a table with this many routes; control accepts it at once. */
   putTable(version: number, routes: number): void
-  /** By router, ms from the acceptance of a version until the router had it, or a newer one. */
-  listAges(version: number): readonly (number | undefined)[]
+  /** By router, time from the acceptance of a version until the router had it or a newer one, in ms. */
+  listPropagationMs(version: number): readonly (number | undefined)[]
   run(duration: number): Promise<void>
   close(): Promise<void>
 }
@@ -73,20 +73,20 @@
 const TERM = 3
 const INSTANCES = 6
 const STEP_MS = 5
-/** Turns of this process's event loop in one step, so that promises that are due settle. */
+/** Event loop turns per step, so that pending promises settle. */
 const TURNS_PER_STEP = 4
-/** One way between data halls, in ms. */
-const DELAY_MS = 1
-/** Work of a request beside its bytes, in ms of a whole core; as docs/CAPACITY.md reckons. */
+/** One-way latency between data halls, in ms. */
+const NETWORK_DELAY_MS = 1
+/** Processor time of a request apart from its bytes, in ms of a full core; as in docs/CAPACITY.md. */
 const REQUEST_MS = 0.25
-/** Writing and reading of JSON, in ms of a whole core for a byte: measured on replies of 120 to 270 KB. */
+/** Time to write and read JSON, in ms of a full core per byte; measured with replies of 120 to 270 KB. */
 const WRITE_MS_PER_BYTE = 1e-5
 const READ_MS_PER_BYTE = 7e-6
 /**
- * The first pieces of work of a process that has just started take longer: writing a reply of 140 KB
- * took 2.2, 1.7 and from then on 0.8 ms.
+ * Slowdown of the first tasks of a newly started process: writing a reply of 140 KB took 2.2 ms, then 1.7 ms, and 0.8 ms
+ * from then on.
  */
-const COLD_FACTORS = [2.8, 2.1]
+const WARM_UP_FACTORS = [2.8, 2.1]
 const BITS_PER_BYTE = 8
 const BITS_PER_MS_AND_MBPS = 1_000
 const ROUTES = 44
@@ -95,11 +95,11 @@
 const RULE_BYTES = 180
 const TEAMS = 140
 
-/** Something that does one thing after the other. */
+/** A processor or link that serves requests in sequence. */
 interface Resource {
-  /** Waits until `ms` of it were spent, after all that was asked for before. */
+  /** Occupies the resource for `ms` after all earlier requests; resolves at the end. */
   use(ms: number): Promise<void>
-  /** Ms of work that wait. */
+  /** Queued work, in ms. */
   backlogMs(): number
 }
 
@@ -116,29 +116,29 @@
   }
 }
 
-/** A version that was put, with when each router had it. */
+/** An accepted table version, with the time each router took to receive it. */
 interface AcceptedTable {
   readonly acceptedAt: number
-  readonly ages: (number | undefined)[]
+  readonly propagationMs: (number | undefined)[]
 }
 
-interface Place {
+interface Host {
   readonly processor: Resource
-  /** Pieces of work done so far. */
-  workDone: number
+  /** Number of tasks done so far. */
+  tasksDone: number
   readonly link: Resource
   readonly cores: number
   readonly mbps: number
 }
 
-/** A routing table; with {@link ROUTES} it has the size that the users' sites have, about 30 KB. */
+/** Builds a routing table; with {@link ROUTES} it is as large as at the users' sites, about 30 KB. */
 export function buildDocument(version: number, routeCount: number): string {
   const random = createRandomSource(routeCount)
   const routes = Array.from({ length: routeCount }, (_, index) => ({
     name: `r-${index}`,
     host: `host${index % HOSTS}.example`,
     prefix: `/prefix${index}/a/b/`,
-    // As names are, no two alike: a table shrinks to a twelfth, and not to nothing.
+    // Unique names, so that the table compresses realistically, to a twelfth of its size.
     names: Array.from({ length: NAMES_PER_ROUTE }, () => random.next().toString(36).slice(2, 10)),
     rules: 'x'.repeat(RULE_BYTES),
   }))
@@ -167,31 +167,31 @@
   return machine
 }
 
-function createKept({ engines, partsPerEngine }: HerdOptions) {
-  const kept = createKeptParts()
+function createDirectory({ engines, partsPerEngine }: FeedSimulationOptions) {
+  const directory = createCacheDirectory()
   const scope = formatCacheScope(undefined, 4)
   for (let index = 0; index < engines; index += 1) {
-    const place = { kind: 'engine', id: `i-${1e9 + index}`, address: 'a' } as const
+    const location = { kind: 'engine', id: `i-${1e9 + index}`, address: 'a' } as const
     const parts = Array.from({ length: partsPerEngine }, (_, part) => ({
       scope,
       id: `${index}/${part}`,
       tokens: 1_000 + part,
     }))
-    kept.apply(place, parts)
+    directory.apply(location, parts)
   }
-  return kept
+  return directory
 }
 
-/** Starts a herd whose routers know the first three control instances. */
-export function createHerd(options: HerdOptions): Herd {
+/** Starts a simulation whose routers use the first three control instances as seeds. */
+export function createFeedSimulation(options: FeedSimulationOptions): FeedSimulation {
   const timers = createManualTimerService()
   const machine = createMachine(options.engines)
-  const kept = createKept(options)
+  const directory = createDirectory(options)
   const urls = Array.from({ length: INSTANCES }, (_, index) => `http://control-${index}`)
   const leaderUrl = urls[INSTANCES - 1]
   const isElected = () => timers.now() >= options.electedAt
   const lines: string[] = []
-  let asks = 0
+  let leaderRequests = 0
   let longestLagMs = 0
 
   const createMember = (url: string) =>
@@ -206,8 +206,8 @@
       isCurrent: () => true,
       checkCurrent: () => {},
     }) as unknown as RaftMember
-  /** A turn of an event loop lasts as long as the work that was begun in it. */
-  const createTurns = ({ processor }: Place) =>
+  /** Each turn of the simulated event loop lasts until its processor has finished the queued work. */
+  const createTurns = ({ processor }: Host) =>
     createTurnQueue((run) => {
       timers.after(Math.max(STEP_MS, processor.backlogMs())).subscribe(run)
     })
@@ -222,10 +222,10 @@
     timers,
     stopping: NEVER,
   })
-  const createSource = (url: string, place: Place): FeedSource =>
+  const createSource = (url: string, host: Host): FeedSource =>
     createFeedSource({
       member: createMember(url),
-      blame: createQuarantineCoordinator({
+      quarantine: createQuarantineCoordinator({
         member: createMember(url),
         quarantine: machine.quarantine,
         timers,
@@ -237,89 +237,94 @@
       tables,
       findConditions: () => ({ loading: [], expired: [], silent: [], stores: [] }),
       conditionChanges: NEVER,
-      kept,
-      waitForKept: async () => {},
+      cacheDirectory: directory,
+      waitForCacheDirectory: async () => {},
       stopping: NEVER,
-      turns: createTurns(place),
+      turns: createTurns(host),
     })
-  const createPlace = (cores: number, mbps: number): Place => ({
+  const createHost = (cores: number, mbps: number): Host => ({
     processor: createResource(timers),
-    workDone: 0,
+    tasksDone: 0,
     link: createResource(timers),
     cores,
     mbps,
   })
   const instances = new Map(
     urls.map((url) => {
-      const place = createPlace(options.controlCores, options.controlMbps)
-      return [url, { source: createSource(url, place), place }]
+      const host = createHost(options.controlCores, options.controlMbps)
+      return [url, { source: createSource(url, host), host }]
     }),
   )
-  const work = (place: Place, ms: number) => {
-    const factor = COLD_FACTORS[place.workDone] ?? 1
-    place.workDone += 1
-    return place.processor.use((ms * factor) / place.cores)
+  const runTask = (host: Host, ms: number) => {
+    const factor = WARM_UP_FACTORS[host.tasksDone] ?? 1
+    host.tasksDone += 1
+    return host.processor.use((ms * factor) / host.cores)
   }
-  const carry = (place: Place, bytes: number) =>
-    place.link.use((bytes * BITS_PER_BYTE) / (place.mbps * BITS_PER_MS_AND_MBPS))
+  const transfer = (host: Host, bytes: number) =>
+    host.link.use((bytes * BITS_PER_BYTE) / (host.mbps * BITS_PER_MS_AND_MBPS))
 
-  const answerAt = (source: FeedSource, path: string, asked: string, response: ServerResponse) =>
+  const answerAt = (
+    source: FeedSource,
+    path: string,
+    requestText: string,
+    response: ServerResponse,
+  ) =>
     path === TABLE_PATH
-      ? tableSource.answer(JSON.parse(asked) as TableRequest, response)
-      : source.answer(JSON.parse(asked) as FeedRequest, response)
+      ? tableSource.answer(JSON.parse(requestText) as TableRequest, response)
+      : source.answer(JSON.parse(requestText) as FeedRequest, response)
   const sendOver = async (
-    router: Place,
+    router: Host,
     { origin: url, pathname }: URL,
     json: unknown,
     response: ServerResponse,
   ) => {
-    const { source, place } = instances.get(url) as { source: FeedSource; place: Place }
-    const asked = JSON.stringify(json)
-    await carry(router, asked.length)
-    await new Promise<void>((resolve) => timers.after(DELAY_MS).subscribe(() => resolve()))
-    await work(place, REQUEST_MS + asked.length * READ_MS_PER_BYTE)
-    if (url === leaderUrl) asks += 1
-    const reply = JSON.stringify(await answerAt(source, pathname, asked, response))
-    // What the caller no longer waits for was built all the same, but is not sent.
-    await work(place, REQUEST_MS + reply.length * WRITE_MS_PER_BYTE)
-    if (url === leaderUrl) longestLagMs = Math.max(longestLagMs, place.processor.backlogMs())
-    if (response.destroyed) throw new Error('the caller has gone')
-    await carry(place, reply.length)
-    await carry(router, reply.length)
-    await work(router, REQUEST_MS + reply.length * READ_MS_PER_BYTE)
+    const { source, host } = instances.get(url) as { source: FeedSource; host: Host }
+    const requestText = JSON.stringify(json)
+    await transfer(router, requestText.length)
+    await new Promise<void>((resolve) => timers.after(NETWORK_DELAY_MS).subscribe(() => resolve()))
+    await runTask(host, REQUEST_MS + requestText.length * READ_MS_PER_BYTE)
+    if (url === leaderUrl) leaderRequests += 1
+    const reply = JSON.stringify(await answerAt(source, pathname, requestText, response))
+    // The reply is built even if the caller has aborted, but not sent.
+    await runTask(host, REQUEST_MS + reply.length * WRITE_MS_PER_BYTE)
+    if (url === leaderUrl) longestLagMs = Math.max(longestLagMs, host.processor.backlogMs())
+    if (response.destroyed) throw new Error('the caller has aborted the request')
+    await transfer(host, reply.length)
+    await transfer(router, reply.length)
+    await runTask(router, REQUEST_MS + reply.length * READ_MS_PER_BYTE)
     return JSON.parse(reply) as never
   }
-  const createClient = (router: Place): HttpClient => ({
-    send: () => Promise.reject(new Error('not used here')),
+  const createClient = (router: Host): HttpClient => ({
+    send: () => Promise.reject(new Error('the simulation has no raw requests')),
     sendJson: ({ url, json, signal }) =>
       new Promise((resolve, reject) => {
         const response = new EventEmitter() as ServerResponse
-        const leave = () => {
+        const abort = () => {
           response.destroyed = true
           response.emit('close')
-          reject(new ConnectionError('gave up', false, true))
+          reject(new ConnectionError('the caller aborted the request', false, true))
         }
-        if (signal?.aborted) return leave()
-        signal?.addEventListener('abort', leave, { once: true })
+        if (signal?.aborted) return abort()
+        signal?.addEventListener('abort', abort, { once: true })
         void sendOver(router, new URL(url), json, response).then(resolve, reject)
       }),
     close: () => {},
   })
 
   timers.after(options.electedAt).subscribe(() => {
-    void instances.get(leaderUrl)?.place.processor.use(options.listingMs)
+    void instances.get(leaderUrl)?.host.processor.use(options.listingMs)
   })
   const tableMs: (number | undefined)[] = []
   const accepted = new Map<number, AcceptedTable>()
-  const keptParts: number[] = []
+  const cachedParts: number[] = []
   const followers = Array.from({ length: options.routers }, (_, index) => {
-    const place = createPlace(options.routerCores, options.routerMbps)
-    keptParts.push(0)
+    const host = createHost(options.routerCores, options.routerMbps)
+    cachedParts.push(0)
     tableMs.push(undefined)
-    const follower = createFeedFollower({
+    const follower = createFeedClient({
       router: `router-${index}`,
       seeds: () => urls.slice(0, 3),
-      client: createClient(place),
+      client: createClient(host),
       timers,
       random: createRandomSource(index + 1),
       logger: createLogger({ write: (line) => void lines.push(line) }),
@@ -335,14 +340,14 @@
       onTrial: () => {},
       limits: NO_LIMITS,
       quotas: NO_QUOTAS,
-      onKept: (placements) => {
-        for (const [, , ...pairs] of placements) keptParts[index] += pairs.length / 2
+      onCacheChanges: (placements) => {
+        for (const [, , ...pairs] of placements) cachedParts[index] += pairs.length / 2
       },
     })
     follower.changes.subscribe(({ index: { table } }) => {
       tableMs[index] ??= timers.now() - options.electedAt
-      for (const [version, { acceptedAt, ages }] of accepted) {
-        if (table.version >= version) ages[index] ??= timers.now() - acceptedAt
+      for (const [version, { acceptedAt, propagationMs }] of accepted) {
+        if (table.version >= version) propagationMs[index] ??= timers.now() - acceptedAt
       }
     })
     return follower
@@ -352,7 +357,7 @@
       await new Promise((resolve) => setImmediate(resolve))
     }
   }
-  const run: Herd['run'] = async (duration) => {
+  const run: FeedSimulation['run'] = async (duration) => {
     for (let spent = 0; spent < duration; spent += STEP_MS) {
       timers.advance(STEP_MS)
       await settle()
@@ -362,19 +367,19 @@
     followers,
     timers,
     tableMs,
-    keptParts,
-    lines,
+    cachedParts,
+    logLines: lines,
     longestLagMs: () => longestLagMs,
-    asks: () => asks,
+    countLeaderRequests: () => leaderRequests,
     putTable: (version, routes) => {
-      const ages = followers.map(() => undefined)
-      accepted.set(version, { acceptedAt: timers.now(), ages })
+      const propagationMs = followers.map(() => undefined)
+      accepted.set(version, { acceptedAt: timers.now(), propagationMs })
       machine.apply(
         { kind: 'table.put', version, document: buildDocument(version, routes) },
         version,
       )
     },
-    listAges: (version) => accepted.get(version)?.ages ?? [],
+    listPropagationMs: (version) => accepted.get(version)?.propagationMs ?? [],
     run,
     close: async () => {
       const closed = Promise.all(followers.map((follower) => follower.close()))
--- a/packages/control/src/registry/knownTable.ts
+++ b/packages/control/src/registry/decodedTable.ts
@@ -1,24 +1,24 @@
-/** The routing table of a control instance, decoded once for each version. */
+/** The routing table of a control instance, decoded once per version. */
 import type { Logger } from '@spoolgate/core'
 import type { RoutingTable, TeamQuota } from '@spoolgate/routing'
 import { formatQuotaKey } from './quotaProtocol.js'
 import type { TableState } from '../state/tableState.js'
 
-/** Options of {@link createKnownTable}. */
-export interface KnownTableOptions {
+/** Options of {@link createDecodedTable}. */
+export interface DecodedTableOptions {
   readonly table: Pick<TableState, 'current'>
-  /** Decodes the operators' document; throws for one that this version cannot read. */
+  /** Decodes the operators' document; throws if this version cannot read it. */
   readonly decodeTable: (document: string) => RoutingTable
   readonly logger: Logger
 }
 
-/** See {@link createKnownTable}. */
-export interface KnownTable {
-  /** The newest that can be read; undefined before the first. */
+/** See {@link createDecodedTable}. */
+export interface DecodedTable {
+  /** The newest readable table; undefined before the first. */
   current(): RoutingTable | undefined
   /** Whether servers may serve a group: it is in the table, or there is no table yet. */
   isKnownGroup(name: string): boolean
-  /** Finds a team's quota by its `formatQuotaKey`; undefined for none of that unit. */
+  /** Finds a team's quota by its `formatQuotaKey`; undefined if the team has none in that unit. */
   findQuota(key: string): TeamQuota | undefined
 }
 
@@ -28,26 +28,30 @@
   )
 }
 
-/** Creates the reader of an instance's table. */
-export function createKnownTable({ table, decodeTable, logger }: KnownTableOptions): KnownTable {
-  let readVersion: number | undefined
-  let known: RoutingTable | undefined
+/** Creates the decoded view of an instance's table. */
+export function createDecodedTable({
+  table,
+  decodeTable,
+  logger,
+}: DecodedTableOptions): DecodedTable {
+  let decodedVersion: number | undefined
+  let decoded: RoutingTable | undefined
   let groups: ReadonlySet<string> = new Set()
   let quotas: ReadonlyMap<string, TeamQuota> = new Map()
 
   const current = () => {
     const held = table.current()
-    if (!held || held.version === readVersion) return known
-    readVersion = held.version
+    if (!held || held.version === decodedVersion) return decoded
+    decodedVersion = held.version
     try {
-      known = decodeTable(held.document)
-      groups = new Set(known.groups.map(({ name }) => name))
-      quotas = listQuotas(known)
+      decoded = decodeTable(held.document)
+      groups = new Set(decoded.groups.map(({ name }) => name))
+      quotas = listQuotas(decoded)
     } catch (cause) {
-      // Only a table of a newer version of this program comes here; the one before stays known.
+      // Only a table written for a newer version of this program gets here; the previous one stays in use.
       logger.error('table.unreadable', { version: held.version, reason: String(cause) })
     }
-    return known
+    return decoded
   }
   return {
     current,
--- /dev/null
+++ b/packages/control/src/registry/feedClient.ts
@@ -0,0 +1,275 @@
+/**
+ * A router's side of the feed: one task that polls the leader, searches for a new leader after a change, and holds the
+ * received state. It tracks when that state was last confirmed as current.
+ */
+import {
+  waitFor,
+  type HttpClient,
+  type Logger,
+  type RandomSource,
+  type RequestFingerprint,
+  type TimerService,
+} from '@spoolgate/core'
+import type { RoutingTable } from '@spoolgate/routing'
+import { Subject, type Observable } from 'rxjs'
+import type { CrashReportBuffer, UnreportedOutcomes } from '../quarantine/crashReportBuffer.js'
+import type { SuspectedRequest } from '../quarantine/crashReport.js'
+import {
+  FEED_PATH,
+  type FeedReply,
+  type FeedRequest,
+  type CachedPlacement,
+  type LimitReport,
+  type LimitsUpdate,
+  type Placement,
+  type ServerLoads,
+} from './feed.js'
+import { createFleetReplica, type FleetView } from './fleetReplica.js'
+import { createInstanceSearch } from './instanceSearch.js'
+import type { QuotaGrants, QuotaReport } from './quotaProtocol.js'
+import { createTableFetcher } from './tableFetcher.js'
+
+/** Options of {@link createFeedClient}. */
+export interface FeedClientOptions {
+  /** Name that identifies this router to control. */
+  readonly router: string
+  /** Seed URLs of the control instances; read again on each search for an instance. */
+  readonly seeds: () => readonly string[]
+  readonly client: HttpClient
+  readonly timers: TimerService
+  readonly random: RandomSource
+  readonly logger: Logger
+  /** Decodes the operators' document; throws if this version cannot read it. */
+  readonly decodeTable: (document: string) => RoutingTable
+  /** Lists the load that this router has in progress. */
+  readonly listLoads: () => ServerLoads
+  /** Drains the placements that this router made since the last call. */
+  readonly takePlacements: () => Placement[]
+  /** Called with the placements of other routers. */
+  readonly onPlacements: (placements: readonly Placement[]) => void
+  /** Outcomes that this router saw of requests that may crash servers. */
+  readonly blame: Pick<CrashReportBuffer, 'listUnreported' | 'recordReported'>
+  /** Server rate limits observed by this router. */
+  readonly limits: LimitRecord
+  /** This router's use of the team quotas. */
+  readonly quotas: QuotaRecord
+  /** Called after each change with all suspected or quarantined requests. */
+  readonly onSuspects: (suspects: readonly SuspectedRequest[]) => void
+  /** Called with a quarantined request that this router may send once as a trial. */
+  readonly onTrial: (request: RequestFingerprint) => void
+  /** Called with cache content reported by engines and stores. */
+  readonly onCacheChanges: (placements: readonly CachedPlacement[]) => void
+}
+
+/** Limits observed by this router, held until the leader acknowledges them. */
+export interface LimitRecord {
+  listUnreported(term: number): ObservedLimits
+  recordAcknowledged(observed: ObservedLimits): void
+  /** Applies the limits known to the leader; `askedAt` is when the poll was sent, in ms of `TimerService.now`. */
+  applyUpdate(update: LimitsUpdate, askedAt: number): void
+}
+
+/** This router's use of the team quotas. Instants are in ms of the clock that includes suspension (`promiseNow`). */
+export interface QuotaRecord {
+  buildReport(now: number): QuotaReport
+  applyGrants(grants: QuotaGrants, askedAt: number): void
+}
+
+/** Limits sent in one poll. */
+export interface ObservedLimits {
+  readonly term: number
+  readonly reports: readonly LimitReport[]
+}
+
+/** A client of the feed; see {@link createFeedClient}. */
+export interface FeedClient {
+  /** The router's state of the fleet; undefined before the first table arrives. */
+  current(): FleetView | undefined
+  /** Time since the poll that last confirmed the router's table as the newest, in ms; Infinity if never. */
+  proofAgeMs(): number
+  /** URL of the instance that answered last; undefined while none responds. */
+  leaderUrl(): string | undefined
+  /** Emits after each change of the table, the weights or the servers. */
+  readonly changes: Observable<FleetView>
+  close(): Promise<void>
+}
+
+/** Minimum wait that a poll asks for, in ms; it determines how stale the loads of other routers are. */
+const MIN_WAIT_MS = 100
+/** Wait added per router, in ms; it limits the poll rate at the leader. */
+const WAIT_PER_ROUTER_MS = 2
+/** Time beyond the wait without a reply after which other instances are also asked, in ms. */
+const ANSWER_TIMEOUT_MS = 500
+/** Pause after an unreadable reply, in ms, since the next one is likely to be unreadable too. */
+const UNREADABLE_PAUSE_MS = 500
+/** Maximum placements held until a leader acknowledges them; more than one poll produces. */
+const MAX_UNREPORTED_PLACEMENTS = 200
+
+/** A reply with the data of its poll. */
+interface FeedAnswer {
+  readonly reply: FeedReply
+  /** When the poll was sent, in ms of the clock that includes suspension (`promiseNow`). */
+  readonly askedAt: number
+  /** Placements sent in the poll. */
+  readonly reported: ReadonlySet<Placement>
+  /** Request outcomes sent in the poll. */
+  readonly blame: UnreportedOutcomes
+  readonly limits: ObservedLimits
+  /** When the poll was sent, in ms of `TimerService.now`. */
+  readonly sentAt: number
+}
+
+/** Confirmation by the leader that a table version was the newest. */
+interface TableConfirmation {
+  readonly version: number
+  /** When the poll was sent, in ms of the clock that includes suspension (`promiseNow`). */
+  readonly askedAt: number
+}
+
+/** Creates a client and starts polling. */
+export function createFeedClient(options: FeedClientOptions): FeedClient {
+  const { client, timers, logger } = options
+  const stopping = new AbortController()
+  const changes = new Subject<FleetView>()
+  const replica = createFleetReplica(options)
+  let unreportedPlacements: readonly Placement[] = []
+  let confirmedAt = -Infinity
+  /** Confirmation of the version that is being fetched; takes effect once the router holds it. */
+  let pendingConfirmation: TableConfirmation | undefined
+  /** URL of the instance that answered last. */
+  let leader: string | undefined
+
+  /** Wait that a poll asks for; 0 while pages of the cache list remain, so that they follow without delay. */
+  const findWaitMs = (url: string) => {
+    if (url !== leader || replica.position().keptPosition.left > 0) return 0
+    return Math.max(MIN_WAIT_MS, replica.countRouters() * WAIT_PER_ROUTER_MS)
+  }
+  const pollInstance = async (url: string, signal: AbortSignal): Promise<FeedAnswer> => {
+    const askedAt = timers.promiseNow()
+    unreportedPlacements = [...unreportedPlacements, ...options.takePlacements()].slice(
+      -MAX_UNREPORTED_PLACEMENTS,
+    )
+    const placements = unreportedPlacements
+    const position = replica.position()
+    const blame = options.blame.listUnreported(position.term)
+    const limits = options.limits.listUnreported(position.term)
+    const sentAt = timers.now()
+    const request: FeedRequest = {
+      router: options.router,
+      ...position,
+      blame: blame.report,
+      limits: limits.reports,
+      quotas: options.quotas.buildReport(askedAt),
+      loads: options.listLoads(),
+      placements,
+      waitMs: findWaitMs(url),
+    }
+    const reply = await client.sendJson<FeedReply>({
+      method: 'POST',
+      url: `${url}${FEED_PATH}`,
+      json: request,
+      signal,
+    })
+    return { reply, askedAt, sentAt, reported: new Set(placements), blame, limits }
+  }
+  const emitView = () => {
+    const view = replica.view()
+    if (view) changes.next(view)
+  }
+  const applyConfirmation = (confirmation: TableConfirmation) => {
+    if (replica.position().tableVersion < confirmation.version) {
+      pendingConfirmation = confirmation
+      return
+    }
+    // A delayed reply may arrive after the reply to a later poll.
+    confirmedAt = Math.max(confirmedAt, confirmation.askedAt)
+  }
+  const listInstances = () => [...new Set([...replica.listControl(), ...options.seeds()])]
+  const tableFetcher = createTableFetcher({
+    listInstances,
+    client,
+    timers,
+    random: options.random,
+    logger,
+    heldVersion: () => replica.position().tableVersion,
+    onUpdate: (update) => {
+      if (!replica.applyTable(update)) return false
+      if (pendingConfirmation) applyConfirmation(pendingConfirmation)
+      emitView()
+      return true
+    },
+    stopping: stopping.signal,
+  })
+  const applyAnswer = ({ reply, askedAt, sentAt, reported, blame, limits }: FeedAnswer) => {
+    const isChanged = replica.apply(reply)
+    options.onPlacements(reply.placements)
+    options.onCacheChanges(reply.kept)
+    options.blame.recordReported(blame, reply.term)
+    if (limits.term === reply.term) options.limits.recordAcknowledged(limits)
+    if (reply.limits) options.limits.applyUpdate(reply.limits, sentAt)
+    if (reply.quotas) options.quotas.applyGrants(reply.quotas, askedAt)
+    if (reply.suspects) options.onSuspects(reply.suspects)
+    if (reply.trial !== undefined) options.onTrial(reply.trial)
+    unreportedPlacements = unreportedPlacements.filter((placement) => !reported.has(placement))
+    applyConfirmation({ version: reply.tableVersion, askedAt })
+    tableFetcher.requestVersion(reply.tableVersion)
+    if (isChanged) emitView()
+  }
+  const search = createInstanceSearch({
+    listInstances,
+    send: pollInstance,
+    timers,
+    random: options.random,
+    logger,
+    logEvent: 'control.searching',
+    describeState: () => ({
+      tableVersion: replica.view()?.index.table.version,
+      proofAgeMs: Math.round(timers.promiseNow() - confirmedAt),
+      term: replica.position().term,
+    }),
+    stopping: stopping.signal,
+  })
+  const pollLeader = async (url: string) => {
+    const answered = await search.requestFrom(url, findWaitMs(url) + ANSWER_TIMEOUT_MS)
+    if (answered || stopping.signal.aborted) return answered
+    const proofAgeMs = Math.round(timers.promiseNow() - confirmedAt)
+    logger.warn('control.lost', { url, term: replica.position().term, proofAgeMs })
+    leader = undefined
+    return undefined
+  }
+  const followLeader = async () => {
+    const polled = leader === undefined ? undefined : await pollLeader(leader)
+    const found = polled ?? (await search.run())
+    if (!found) return
+    applyAnswer(found.answer)
+    if (leader === found.url) return
+    leader = found.url
+    logger.info('control.regained', { url: leader, term: replica.position().term })
+  }
+  const run = async () => {
+    while (!stopping.signal.aborted) {
+      try {
+        await followLeader()
+      } catch (cause) {
+        // Only an unreadable reply gets here: a table written for a newer version of this program.
+        logger.error('feed.unreadable', { url: leader, reason: String(cause) })
+        leader = undefined
+        await waitFor(timers, UNREADABLE_PAUSE_MS, stopping.signal)
+      }
+    }
+  }
+  const running = run()
+  return {
+    current: replica.view,
+    // Counts suspension: the table may have been replaced while this machine was suspended.
+    proofAgeMs: () => timers.promiseNow() - confirmedAt,
+    leaderUrl: () => leader,
+    changes,
+    close: async () => {
+      stopping.abort()
+      await running
+      await tableFetcher.close()
+      changes.complete()
+    },
+  }
+}
--- a/packages/control/src/registry/fleetOperations.ts
+++ b/packages/control/src/registry/fleetOperations.ts
@@ -23,7 +23,7 @@
 import type { PutTableResult } from '../state/tableState.js'
 import { applyTableUpdate, buildTableUpdate, type TableUpdate } from '../table/tableUpdate.js'
 import { createServerSignals } from './serverSignals.js'
-import { createTablePuts } from './tablePuts.js'
+import { createTableWriter } from './tableWriter.js'
 import type { NameWeights, NameWeightsResult } from '../state/weightsState.js'
 
 /** Path prefix under which instances forward operations to the leader. */
@@ -136,7 +136,7 @@
     silentAfterMs: options.silentAfterMs,
     findHeartbeatAgeMs,
   })
-  const tablePuts = createTablePuts({ member, table: machine.table, logger })
+  const tablePuts = createTableWriter({ member, table: machine.table, logger })
   /** A new server of an unknown group cannot be used; one that is already registered stays registered. */
   const isAcceptable = ({ id, group }: RegisteredServer) =>
     options.isKnownGroup(group) || machine.servers.find(id) !== undefined
--- a/packages/control/src/registry/heldFleet.ts
+++ b/packages/control/src/registry/fleetReplica.ts
@@ -1,6 +1,6 @@
 /**
- * What a router holds of the fleet, as the feed reported it: routing table, weights, servers and their
- * conditions, and where the router stands in the feed. A table never goes back to an older version.
+ * A router's replica of the fleet state received over the feed: routing table, weights, servers and their conditions,
+ * and the router's position in the feed. The table never reverts to an older version.
  */
 import type { BackendServerId, Logger, TimerService } from '@spoolgate/core'
 import { buildTableIndex, type RoutingTable, type TableIndex } from '@spoolgate/routing'
@@ -16,34 +16,34 @@
 import type {
   FeedReply,
   FeedRequest,
-  KeptPosition,
+  CacheListCursor,
   ServerConditions,
   ServerLoads,
-  StoreLife,
+  ReachableStore,
 } from './feed.js'
 
-/** What a router knows of the fleet. */
+/** Fleet state as seen by a router. */
 export interface FleetView {
   readonly index: TableIndex
   readonly weights: Readonly<Record<string, number>>
-  /** When this router learned of each model's wanted weights, in ms of its monotonic clock. */
+  /** When this router received each model's target weights, in ms of its monotonic clock. */
   readonly weightsSince: Readonly<Record<string, number>>
   readonly servers: ReadonlyMap<BackendServerId, RegisteredServer>
-  /** Servers that are loading weights, or about to. */
+  /** Servers that are loading weights or about to load them. */
   readonly loading: ReadonlySet<BackendServerId>
-  /** Servers whose weights are so old that nothing may begin on them any more. */
+  /** Servers whose weights are too old for new calls. */
   readonly expired: ReadonlySet<BackendServerId>
-  /** Servers that missed their last heartbeats. */
+  /** Servers that missed their most recent heartbeats. */
   readonly silent: ReadonlySet<BackendServerId>
-  /** Stores of KV cache that answer. */
-  readonly stores: readonly StoreLife[]
-  /** Routers that polled control lately, this one included. */
+  /** KV cache stores that respond. */
+  readonly stores: readonly ReachableStore[]
+  /** Number of routers that polled control recently, including this one. */
   readonly routers: number
-  /** What the other routers have in progress, as of the last poll. */
+  /** Load that the other routers had in progress at the last poll. */
   readonly loads: ServerLoads
 }
 
-/** Where a router stands in the feed. */
+/** A router's position in the feed: versions, revisions and cursors of what it has received. */
 export type FeedPosition = Pick<
   FeedRequest,
   | 'tableVersion'
@@ -57,37 +57,37 @@
   | 'limitsSeen'
 >
 
-/** Options of {@link createHeldFleet}. */
-export interface HeldFleetOptions {
+/** Options of {@link createFleetReplica}. */
+export interface FleetReplicaOptions {
   readonly timers: TimerService
   readonly logger: Logger
-  /** Decodes the operators' document; throws for one that this version cannot read. */
+  /** Decodes the operators' document; throws if this version cannot read it. */
   readonly decodeTable: (document: string) => RoutingTable
 }
 
-/** What a router holds; see {@link createHeldFleet}. */
-export interface HeldFleet {
-  /** Undefined before the first table. */
+/** See {@link createFleetReplica}. */
+export interface FleetReplica {
+  /** Current view; undefined before the first table. */
   view(): FleetView | undefined
   position(): FeedPosition
-  /** URLs of the control instances; none before the first reply. */
+  /** URLs of the control instances; empty before the first reply. */
   listControl(): readonly string[]
-  /** Routers that polled control lately, this one included. */
+  /** Number of routers that polled control recently, including this one. */
   countRouters(): number
   /**
-   * Takes over a reply; true when table, weights or servers came with it.
-   * @throws what `decodeTable` throws; nothing of the reply is taken over then.
+   * Applies a reply; true if it contained a new table, weights or servers.
+   * @throws what `decodeTable` throws; the reply is then not applied at all.
    */
   apply(reply: FeedReply): boolean
   /**
-   * Takes over an update of the table; true when it led to a newer version, false when it does not fit.
-   * @throws what `decodeTable` throws; the table stays as it was then.
+   * Applies a table update; true if it installed a newer version, false if it does not apply.
+   * @throws what `decodeTable` throws; the table is then unchanged.
    */
   applyTable(update: TableUpdate): boolean
 }
 
 const NO_VERSION = -1
-const NOTHING_KEPT: KeptPosition = { after: '', left: 0 }
+const EMPTY_LIST: CacheListCursor = { after: '', left: 0 }
 
 type ConditionSets = Pick<FleetView, 'loading' | 'expired' | 'silent' | 'stores'>
 
@@ -107,9 +107,13 @@
   }
 }
 
-/** Creates what a router holds at its start: nothing. */
-export function createHeldFleet({ timers, logger, decodeTable }: HeldFleetOptions): HeldFleet {
-  let held: HeldTable | undefined
+/** Creates an empty replica. */
+export function createFleetReplica({
+  timers,
+  logger,
+  decodeTable,
+}: FleetReplicaOptions): FleetReplica {
+  let heldTable: HeldTable | undefined
   let index: TableIndex | undefined
   let weights: Readonly<Record<string, number>> = {}
   let weightsSince: Readonly<Record<string, number>> = {}
@@ -126,16 +130,16 @@
     revision: NO_VERSION,
     placementsSeen: 0,
     keptSeen: 0,
-    keptPosition: NOTHING_KEPT,
+    keptPosition: EMPTY_LIST,
   }
 
   const installTable = (update: TableUpdate) => {
-    if (held && update.version <= held.version) return false
+    if (heldTable && update.version <= heldTable.version) return false
     const startedAt = timers.now()
-    const next = applyTableUpdate(held, update)
+    const next = applyTableUpdate(heldTable, update)
     if (!next) return false
     index = buildTableIndex(decodeTable(next.document))
-    held = next
+    heldTable = next
     logger.info('table.inForce', {
       version: next.version,
       routes: index.table.routes.length,
@@ -145,7 +149,7 @@
     })
     return true
   }
-  /** False when the news belong to another revision than the one held: then all servers are asked for. */
+  /** Returns false if the changes are based on another revision; all servers are then requested. */
   const applyServers = ({ since, changed, gone }: ServersUpdate) => {
     if (since !== null && since !== position.revision) return false
     const next = new Map(since === null ? [] : servers)
@@ -156,7 +160,7 @@
   }
   const applyWeights = (next: Readonly<Record<string, number>>) => {
     const changed = Object.keys(next).filter((model) => next[model] !== weights[model])
-    // Nobody knows for how long the first ones that a router learns of have been wanted.
+    // For the first weights that a router receives, the time since they became the target is unknown.
     const isFirst = Object.keys(weights).length === 0
     const at = isFirst ? -Infinity : timers.now()
     weightsSince = { ...weightsSince, ...Object.fromEntries(changed.map((model) => [model, at])) }
@@ -187,7 +191,7 @@
       const { term, revision, placementsSeen, keptSeen, keptPosition, suspectsSeen, limitsSeen } =
         reply
       position = {
-        tableVersion: held?.version ?? NO_TABLE_VERSION,
+        tableVersion: heldTable?.version ?? NO_TABLE_VERSION,
         tableReported: Math.max(position.tableReported, reply.tableVersion),
         term,
         revision: isServersKnown ? revision : NO_VERSION,
--- a/packages/control/src/registry/rateLimitAllocator.ts
+++ b/packages/control/src/registry/rateLimitAllocator.ts
@@ -5,7 +5,7 @@
  */
 import type { TimerService } from '@spoolgate/core'
 import { hashText } from '@spoolgate/routing'
-import type { LimitNews, LimitReport, LimitsUpdate } from './feed.js'
+import type { AssignedLimit, LimitReport, LimitsUpdate } from './feed.js'
 
 /** Options of {@link createRateLimitAllocator}. */
 export interface RateLimitAllocatorOptions {
@@ -155,7 +155,7 @@
     buildUpdate: (router) => {
       refresh()
       const now = timers.now()
-      const servers = [...entries].map(([server, entry]): LimitNews => {
+      const servers = [...entries].map(([server, entry]): AssignedLimit => {
         const { perSecond, at } = entry
         const update = { server, perSecond, ageMs: Math.max(0, Math.round(now - at)) }
         return entry.routers.has(router) ? { ...update, part: 1 / entry.routers.size } : update
--- a/packages/control/src/registry/registryControl.ts
+++ b/packages/control/src/registry/registryControl.ts
@@ -32,7 +32,7 @@
 import { createRaftRoute } from '../server/groupRoutes.js'
 import { createHttpTransport } from '../server/raftTransport.js'
 import { createControlMachine, type ControlMachine } from '../state/controlMachine.js'
-import { createCacheWatch, type CacheCalls } from './cacheWatch.js'
+import { createCacheWatch, type CacheClient } from './cacheWatch.js'
 import type { EngineClient } from './engineClient.js'
 import { FEED_PATH, TABLE_PATH, type FeedRequest } from './feed.js'
 import { createFeedSource } from './feedSource.js'
@@ -41,7 +41,7 @@
   OPERATION_PATH,
   type FleetOperationRunner,
 } from './fleetOperations.js'
-import { createKnownTable } from './knownTable.js'
+import { createDecodedTable } from './decodedTable.js'
 import { createQuotaBuckets } from './quotaBuckets.js'
 import { QUOTA_PATH, type QuotaReport, type QuotaTolerance } from './quotaProtocol.js'
 import { createServerMonitor } from './serverMonitor.js'
@@ -65,7 +65,7 @@
   /** Target number of voters in the group. */
   readonly wantedVoters: number
   readonly engineClient: EngineClient
-  readonly cacheCalls: CacheCalls
+  readonly cacheCalls: CacheClient
   /** Decodes the routing table document submitted by operators. */
   readonly decodeTable: (document: string) => RoutingTable
   /** Time for which orders of a previous leader may still take effect, in ms. */
@@ -181,7 +181,7 @@
     logger,
   })
   const stopping = new Subject<void>()
-  const table = createKnownTable({
+  const table = createDecodedTable({
     table: machine.table,
     decodeTable: options.decodeTable,
     logger,
@@ -222,11 +222,11 @@
   const caches = createCacheWatch({
     member,
     machine,
-    calls: options.cacheCalls,
+    client: options.cacheCalls,
     table,
     timers,
     logger,
-    onKept: (placements) => feed.addKept(placements),
+    onCacheChanges: (placements) => feed.addCacheChanges(placements),
   })
   const tables = createTableHistory({
     current: machine.table.current,
@@ -256,16 +256,16 @@
     machine,
     timers,
     tables,
-    blame,
+    quarantine: blame,
     findConditions: () => ({
       loading: rollout.listLoading(),
       expired: monitor.listExpired(),
       silent: monitor.listSilent(),
-      stores: caches.listLives(),
+      stores: caches.listReachableStores(),
     }),
     conditionChanges: merge(rollout.loadingChanges, monitor.changes, caches.changes),
-    kept: caches.kept,
-    waitForKept: caches.waitForFirstAnswers,
+    cacheDirectory: caches.directory,
+    waitForCacheDirectory: caches.waitForFirstAnswers,
     stopping,
   })
   const findUnreadyReason = () =>
--- a/packages/router/src/__tests__/prefixLocations.spec.ts
+++ b/packages/router/src/__tests__/prefixLocations.spec.ts
@@ -2,7 +2,7 @@
   buildServerIdentity,
   type FleetView,
   type RegisteredServer,
-  type StoreLife,
+  type ReachableStore,
 } from '@spoolgate/control'
 import { createManualTimerService, toBackendServerId, toServerName } from '@spoolgate/core'
 import { formatCacheScope, formatStoreId } from '@spoolgate/routing'
@@ -132,7 +132,7 @@
   const PROMPTS = 300
 
   /** Lists the stores to which a number of prompts are saved. */
-  function listSavedTo(stores: readonly StoreLife[]): (string | undefined)[] {
+  function listSavedTo(stores: readonly ReachableStore[]): (string | undefined)[] {
     const table = {
       stores: STORES.map(({ address }) => ({
         address,
--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -6,8 +6,8 @@
 import type { Socket } from 'node:net'
 import {
   createCrashReportBuffer,
-  createFeedFollower,
-  type FeedFollower,
+  createFeedClient,
+  type FeedClient,
   type LimitsUpdate,
 } from '@spoolgate/control'
 import {
@@ -83,7 +83,7 @@
 /** A running router. */
 export interface DirectRouter {
   readonly port: number
-  readonly feed: FeedFollower
+  readonly feed: FeedClient
   /** Returns why the router is not ready for callers, or undefined if it is. */
   findUnreadyReason(): string | undefined
   renderMetrics(): Promise<string>
@@ -193,7 +193,7 @@
     logger,
     findLeaderUrl: () => feed.leaderUrl(),
   })
-  const feed: FeedFollower = createFeedFollower({
+  const feed: FeedClient = createFeedClient({
     router: options.instance,
     seeds: options.seeds,
     client,
@@ -222,7 +222,7 @@
     onPlacements: (placements) => {
       for (const placement of placements) prefixCache.recordPlacement(placement)
     },
-    onKept: (placements) => {
+    onCacheChanges: (placements) => {
       for (const placement of placements) prefixCache.confirmPlacement(placement)
     },
   })
