--- a/packages/control/src/__tests__/appliedLog.spec.ts
+++ b/packages/control/src/__tests__/appliedLog.spec.ts
@@ -34,7 +34,7 @@
   beforeEach(async () => {
     written = () => {}
     store = await openLogStore({ folder: createMemoryFolder(), logger, onFailure: () => {} })
-    await store.saveBallot({ term: 1, votedFor: 'a', mayVote: true })
+    await store.saveVoteState({ term: 1, votedFor: 'a', mayVote: true })
     membership = createMembership({ name: 'a', store, founders })
     applied = createAppliedLog({
       store,
@@ -56,6 +56,6 @@
     expect((store.snapshot()?.state as SavedState).members).to.deep.equal(founders)
     // The change goes on to count with the group before it, also for who reads the disk again.
     membership.reload()
-    expect(membership.listDeciding(SNAPSHOT_EVERY)).to.deep.include.members([founders, grown])
+    expect(membership.listCommitGroups(SNAPSHOT_EVERY)).to.deep.include.members([founders, grown])
   })
 })
--- a/packages/control/src/__tests__/electionReport.spec.ts
+++ b/packages/control/src/__tests__/electionReport.spec.ts
@@ -17,23 +17,23 @@
 
   beforeEach(async () => {
     group = await createTestGroup(NAMES)
-    await group.findLeader()
+    await group.waitForLeader()
     await group.run(ELECTION_MS)
   })
   afterEach(() => group.close())
 
   /** Reads the answers that one member reported since it stands alone. */
   const readAnswers = async (name: string): Promise<Record<string, string>> => {
-    const known = group.lines.length
+    const known = group.logLines.length
     await group.run(ELECTION_MS * 5)
-    const found = listLines(group.lines.slice(known), 'raft.notElected')
+    const found = listLines(group.logLines.slice(known), 'raft.notElected')
     const [line] = found.filter((text) => text.includes(` member=${name} `)).slice(-1)
     const [, answers] = /answers=("(?:[^"\\]|\\.)*")/.exec(line) as RegExpExecArray
     return JSON.parse(JSON.parse(answers) as string) as Record<string, string>
   }
 
   it('names the voters that do not answer', async () => {
-    for (const name of ['a', 'b', 'c']) group.frozen.add(name)
+    for (const name of ['a', 'b', 'c']) group.frozenMembers.add(name)
     const answers = await readAnswers('d')
     expect(answers.d).to.equal('granted')
     expect(answers.a).to.equal('silent: link is cut')
@@ -43,10 +43,12 @@
     const left = ['a', 'b']
     await group.restart(left, 0)
     await group.loseDisks(['c'])
-    group.frozen.add('d')
-    group.frozen.add('b')
+    group.frozenMembers.add('d')
+    group.frozenMembers.add('b')
     expect((await readAnswers('a')).c).to.equal('lost')
-    const lost = listLines(group.lines, 'raft.lostVoter').filter((line) => / member=a /.test(line))
+    const lost = listLines(group.logLines, 'raft.lostVoter').filter((line) =>
+      / member=a /.test(line),
+    )
     expect(lost).to.have.length(1)
     expect(lost[0]).to.include('voter=c url=c found=c#new')
   })
@@ -58,24 +60,24 @@
     await group.restart(others, 0)
     await group.run(ELECTION_MS * 0.8)
     const term = group.members.get(old)?.member.status().term
-    const lines = listLines(group.lines, 'raft.notElected')
+    const lines = listLines(group.logLines, 'raft.notElected')
     expect(lines.some((line) => line.includes(`heldBack by ${old} of term ${term}`))).to.equal(true)
   })
 
   it('reports to a candidate that its log is behind', async () => {
-    const leader = await group.findLeader()
+    const leader = await group.waitForLeader()
     const [behind, other] = NAMES.filter((name) => name !== leader.name)
     group.isolate(behind)
     await group.propose(leader, { kind: 'table.put', version: 1, document: '{}' })
     group.heal()
-    for (const name of NAMES) if (name !== behind && name !== other) group.frozen.add(name)
+    for (const name of NAMES) if (name !== behind && name !== other) group.frozenMembers.add(name)
     expect((await readAnswers(behind))[other]).to.equal('behind')
   })
 
   it('reports why an instance stands in no election itself', async () => {
     await group.loseDisks(['d'])
     await group.run(ELECTION_MS * 3)
-    const lines = listLines(group.lines, 'raft.notStanding')
+    const lines = listLines(group.logLines, 'raft.notStanding')
     expect(lines.some((line) => line.includes('member=d#new kind=- mayVote=false'))).to.equal(true)
   })
 })
@@ -90,16 +92,16 @@
     const report = createElectionReport({ logger, timers })
     for (let round = 0; round < 100; round += 1) {
       const answers = { b: 'silent: x' }
-      report.recordLostRound({ term: round, isPreVote: true, members, answers })
+      report.recordFailedRound({ term: round, isPreVote: true, members, answers })
       timers.advance(50)
     }
     // Rounds of 5 s: one line a second.
     expect(lines).to.have.length(5)
     timers.advance(100)
-    report.recordLostRound({ term: 1, isPreVote: true, members, answers: { b: 'lost' } })
+    report.recordFailedRound({ term: 1, isPreVote: true, members, answers: { b: 'lost' } })
     expect(lines).to.have.length(6)
     for (let round = 0; round < 100; round += 1) {
-      report.recordLostRound({ term: 1, isPreVote: true, members, answers: { b: `x${round}` } })
+      report.recordFailedRound({ term: 1, isPreVote: true, members, answers: { b: `x${round}` } })
       timers.advance(10)
     }
     // What changes each time is written ten times a second; the first of these came too early.
--- a/packages/control/src/__tests__/group.ts
+++ b/packages/control/src/__tests__/group.ts
@@ -30,12 +30,12 @@
 export interface TestGroup {
   readonly members: Map<string, TestMember>
   /** Links that are cut, as `from>to`. */
-  readonly cut: Set<string>
-  readonly frozen: Set<string>
+  readonly cutLinks: Set<string>
+  readonly frozenMembers: Set<string>
   /** Bytes that a link carries within the time limit of a message; larger ones never arrive. */
-  carriedBytes: number
+  maxMessageBytes: number
   /** What the members have logged. */
-  readonly lines: readonly string[]
+  readonly logLines: readonly string[]
   isolate(name: string): void
   heal(): void
   /** Moves time forward until the condition holds. */
@@ -44,7 +44,7 @@
   run(duration: number): Promise<void>
   leader(): TestMember | undefined
   /** Waits for a leader, or for another one. */
-  findLeader(other?: string): Promise<TestMember>
+  waitForLeader(other?: string): Promise<TestMember>
   /** Proposes a command and moves time forward until it is known what became of it. */
   propose(leader: TestMember, command: unknown): Promise<unknown>
   /** Members that hold a lease. */
@@ -104,7 +104,7 @@
       if (name !== 'vote' && target.name !== to) throw fail()
       // Messages travel as text, so that nobody shares what another still changes.
       const text = JSON.stringify(request)
-      if (text.length > group.carriedBytes) throw fail()
+      if (text.length > group.maxMessageBytes) throw fail()
       const { member } = target
       const handlers = {
         vote: member.handleVote,
@@ -155,10 +155,10 @@
   }
   const group: TestGroup = {
     members,
-    lines,
-    cut,
-    frozen,
-    carriedBytes: Infinity,
+    logLines: lines,
+    cutLinks: cut,
+    frozenMembers: frozen,
+    maxMessageBytes: Infinity,
     start,
     isolate: (name) => {
       const { url } = members.get(name) as TestMember
@@ -183,7 +183,7 @@
         const { role, hasLease } = member.status()
         return role === 'leader' && hasLease && !frozen.has(name)
       }),
-    findLeader: async (other) => {
+    waitForLeader: async (other) => {
       const findNext = () => {
         const leader = group.leader()
         return leader?.name === other ? undefined : leader
--- a/packages/control/src/__tests__/groupModel.ts
+++ b/packages/control/src/__tests__/groupModel.ts
@@ -86,13 +86,13 @@
 
   check(condition: boolean, what: string): void {
     if (condition) return
-    const lines = [...this.actions, ...this.group.lines.slice(-LINES_SHOWN)]
+    const lines = [...this.actions, ...this.group.logLines.slice(-LINES_SHOWN)]
     throw new Error(`seed ${this.seed} at ${this.now} ms: ${what}\n${lines.join('\n')}`)
   }
 
   checkInvariants(): void {
     const acting = [...this.group.members.values()].filter(
-      ({ name }) => !this.group.frozen.has(name),
+      ({ name }) => !this.group.frozenMembers.has(name),
     )
     const holders = acting.filter(({ member }) => member.status().hasLease)
     this.check(holders.length <= 1, `leases of ${holders.map(({ name }) => name).join()}`)
@@ -188,7 +188,7 @@
   }
 
   async stop(place: Place): Promise<void> {
-    this.group.frozen.delete(place.name)
+    this.group.frozenMembers.delete(place.name)
     this.frozenAt.delete(place.name)
     this.recordGroup(place)
     const disks = await this.group.losePower([place.name])
@@ -206,7 +206,7 @@
     const since = this.frozenAt.get(name)
     if (since === undefined) return
     this.frozenAt.delete(name)
-    this.group.frozen.delete(name)
+    this.group.frozenMembers.delete(name)
     const found = this.group.members.get(name) as TestMember
     // A frozen process sees its monotonic clock jump when it wakes; one whose machine was suspended does not.
     if (this.sleeps.next() < SUSPENDED_PART) found.timers.suspend(this.now - since)
@@ -227,7 +227,8 @@
     const gone = this.places.filter(({ name, lost, disk }) => {
       return lost.length > 0 || disk || this.frozenAt.has(name)
     })
-    if (place.lost.length > 0 || gone.length >= this.borneAway || this.group.cut.size > 0) return
+    if (place.lost.length > 0 || gone.length >= this.borneAway || this.group.cutLinks.size > 0)
+      return
     this.actions.push(`${this.now} replace ${place.name}`)
     await this.stop(place)
     this.replaced += 1
@@ -263,11 +264,11 @@
     } else if (kind < 5) {
       const other = this.random.choose(this.places)
       this.actions.push(`${this.now} cut ${url}>${other.url}`)
-      this.group.cut.add(`${url}>${other.url}`)
+      this.group.cutLinks.add(`${url}>${other.url}`)
     } else if (kind < 7 && !this.frozenAt.has(name)) {
       this.actions.push(`${this.now} freeze ${name}`)
       this.frozenAt.set(name, this.now)
-      this.group.frozen.add(name)
+      this.group.frozenMembers.add(name)
     } else if (kind < 9) {
       this.actions.push(`${this.now} stop ${name}`)
       await this.stop(place)
@@ -285,7 +286,7 @@
     const running = this.places.filter(({ disk }) => disk === undefined)
     this.actions.push(`${this.now} losePower`)
     for (const name of running.map((place) => place.name)) {
-      this.group.frozen.delete(name)
+      this.group.frozenMembers.delete(name)
       this.frozenAt.delete(name)
     }
     running.forEach((place) => this.recordGroup(place))
@@ -358,7 +359,7 @@
       await life.run(random.choose(SPANS_MS))
     }
     await life.resumeAll()
-    const byProof = group.lines.filter((line) => /raft\.elected .*lostVoters="/.test(line))
+    const byProof = group.logLines.filter((line) => /raft\.elected .*lostVoters="/.test(line))
     return {
       founders,
       wantedVoters,
--- a/packages/control/src/__tests__/groupSteps.ts
+++ b/packages/control/src/__tests__/groupSteps.ts
@@ -16,7 +16,11 @@
 }
 
 /** Whether messages pass between two instances in both directions. */
-function isLinked({ cut, frozen }: TestGroup, a: TestMember, b: TestMember): boolean {
+function isLinked(
+  { cutLinks: cut, frozenMembers: frozen }: TestGroup,
+  a: TestMember,
+  b: TestMember,
+): boolean {
   const isCut = cut.has(`${a.url}>${b.url}`) || cut.has(`${b.url}>${a.url}`)
   return !isCut && !frozen.has(a.name) && !frozen.has(b.name)
 }
--- a/packages/control/src/__tests__/largeEntries.spec.ts
+++ b/packages/control/src/__tests__/largeEntries.spec.ts
@@ -21,8 +21,8 @@
 
   it('receives them in messages small enough for the link to transfer in time', async () => {
     group = await createTestGroup(['a', 'b', 'c'])
-    group.carriedBytes = CARRIED_BYTES
-    const leader = await group.findLeader()
+    group.maxMessageBytes = CARRIED_BYTES
+    const leader = await group.waitForLeader()
     const [missing] = [...group.members.values()].filter(({ name }) => name !== leader.name)
     group.isolate(missing.name)
     for (let version = 1; version <= TABLES; version += 1) await putTable(leader, version)
@@ -44,7 +44,7 @@
 
   it('is stored in the log as a patch', async () => {
     group = await createTestGroup(['a', 'b', 'c'])
-    const { member, machine } = await group.findLeader()
+    const { member, machine } = await group.waitForLeader()
     const logger = createLogger({ write: () => {} })
     const puts = createTableWriter({ member, table: machine.table, logger })
     const put = async (version: number, document: string) => {
@@ -54,7 +54,7 @@
     }
     const document = buildDocument(1, 5_000)
     await put(1, document)
-    group.carriedBytes = SMALL_BYTES
+    group.maxMessageBytes = SMALL_BYTES
     const changed = document.replace('"version":1', '"version":2').replace('r-4711"', 'r-x"')
     await put(2, changed)
     await group.run(500)
--- a/packages/control/src/__tests__/logStore.spec.ts
+++ b/packages/control/src/__tests__/logStore.spec.ts
@@ -44,16 +44,16 @@
 
   /** Writes entries, ballots and snapshots; returns what was acknowledged before the crash. */
   const writeUntilCrash = async (store: LogStore, from: number) => {
-    const acknowledged = { index: from, term: store.ballot().term }
+    const acknowledged = { index: from, term: store.voteState().term }
     for (let index = from + 1; index <= from + ENTRIES; index += 1) {
       const written = store.append([{ index, term: 1, command: `entry ${index}` }])
       void written.then(() => {
         acknowledged.index = Math.max(acknowledged.index, index)
       })
       if (index % 4 === 0) {
-        const term = store.ballot().term + 1
+        const term = store.voteState().term + 1
         const ballot = { term, votedFor: 'a', mayVote: true }
-        void store.saveBallot(ballot).then(() => {
+        void store.saveVoteState(ballot).then(() => {
           acknowledged.term = Math.max(acknowledged.term, term)
         })
       }
@@ -67,7 +67,7 @@
     return acknowledged
   }
   const checkContent = (store: LogStore, from: number, to: number) => {
-    for (const entry of store.list(from + 1, to - from)) {
+    for (const entry of store.listEntries(from + 1, to - from)) {
       expect(entry.command).to.equal(`entry ${entry.index}`)
     }
   }
@@ -84,9 +84,9 @@
       await folder.list().catch(() => (crashes += 1))
       const again = await open(folder.restart(random))
       expect(again.lastIndex(), `seed ${seed}`).to.be.at.least(acknowledged.index)
-      expect(again.ballot().term, `seed ${seed}`).to.be.at.least(acknowledged.term)
+      expect(again.voteState().term, `seed ${seed}`).to.be.at.least(acknowledged.term)
       expect(again.durableIndex()).to.equal(again.lastIndex())
-      checkContent(again, again.baseIndex(), again.lastIndex())
+      checkContent(again, again.snapshotIndex(), again.lastIndex())
       // It must go on working, and survive a second loss right after the repair.
       await again.append([
         { index: again.lastIndex() + 1, term: 9, command: `entry ${again.lastIndex() + 1}` },
--- a/packages/control/src/__tests__/lossesBorne.spec.ts
+++ b/packages/control/src/__tests__/lossesBorne.spec.ts
@@ -70,7 +70,7 @@
       const names = NAMES.slice(0, voters)
       for (const [index, losses] of listLosses(names).entries()) {
         const group = await createTestGroup(names, index + 1)
-        await group.propose(await group.findLeader(), buildTable(7))
+        await group.propose(await group.waitForLeader(), buildTable(7))
         await applyLosses(group, names, losses)
         const what = JSON.stringify(losses)
         await group.run(ELECTION_MS * NOBODY_TIMEOUTS)
@@ -103,11 +103,11 @@
           await group.run(ELECTION_MS)
         }
       }
-      await group.findLeader()
+      await group.waitForLeader()
       await group.losePower(['d'])
       await group.start('e', { isFounding: false })
       await runSteps(SHRINK_AFTER_MS + REPLACE_AFTER_MS)
-      await group.propose(await group.findLeader(), buildTable(7))
+      await group.propose(await group.waitForLeader(), buildTable(7))
       const lost = now.filter((name) => !kept.includes(name))
       await applyLosses(group, now, { lost, down: [], cutOff: [] })
       await group.run(ELECTION_MS * NOBODY_TIMEOUTS)
@@ -128,7 +128,7 @@
       const group = await createTestGroup(urls, seed)
       const steps = createGroupSteps({ group, wantedVoters: 5 })
       const names = new Map(urls.map((url) => [url, url]))
-      await group.propose(await group.findLeader(), buildTable(7))
+      await group.propose(await group.waitForLeader(), buildTable(7))
       // Each disk is lost in its turn, and again: whoever holds the entry got it by a repair.
       for (let round = 0; round < 6; round += 1) {
         const lost = [urls[(round * 2 + seed) % 4], urls[(round * 2 + seed + 1) % 4]]
@@ -150,7 +150,7 @@
           steps.apply()
           return group.leader() !== undefined && [...group.members.values()].every(isWhole)
         }, `all four are voters again in round ${round}`)
-        const again = await group.propose(await group.findLeader(), buildTable(7))
+        const again = await group.propose(await group.waitForLeader(), buildTable(7))
         expect(again, `round ${round}`).to.deep.equal({ isNewer: false, version: 7 })
       }
       await group.close()
@@ -173,7 +173,7 @@
   }
   const cutBetween = (group: TestGroup, some: readonly string[], others: readonly string[]) => {
     for (const one of some) {
-      for (const other of others) group.cut.add(`${one}>${other}`).add(`${other}>${one}`)
+      for (const other of others) group.cutLinks.add(`${one}>${other}`).add(`${other}>${one}`)
     }
   }
 
@@ -181,23 +181,23 @@
     const names = ['a', 'b', 'c']
     for (const seed of [1, 2, 3]) {
       const group = await createTestGroup(names, seed)
-      const old = await group.findLeader()
+      const old = await group.waitForLeader()
       const [next, third] = names.filter((name) => name !== old.name)
       await addLearner(group, old, 'x')
       // The change reaches the new voter alone; the two others elect and acknowledge without it.
       cutBetween(group, [old.name, 'x'], [next, third])
       startChange(old, 'x', 'voter')
-      const other = await group.findLeader(old.name)
+      const other = await group.waitForLeader(old.name)
       await group.propose(other, buildTable(7))
       const lost = other.name === next ? third : next
       await group.loseDisks([lost])
       group.heal()
-      group.frozen.add(other.name)
+      group.frozenMembers.add(other.name)
       // Of four voters one is lost and two grant, but neither holds what was acknowledged.
       await group.run(ELECTION_MS * NOBODY_TIMEOUTS)
       expect(group.leader()?.name, `seed ${seed}`).to.equal(undefined)
-      group.frozen.delete(other.name)
-      const again = await group.propose(await group.findLeader(), buildTable(7))
+      group.frozenMembers.delete(other.name)
+      const again = await group.propose(await group.waitForLeader(), buildTable(7))
       expect(again, `seed ${seed}`).to.deep.equal({ isNewer: false, version: 7 })
       await group.close()
     }
@@ -207,7 +207,7 @@
     const names = ['a', 'b', 'c', 'd']
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const group = await createTestGroup(names, seed)
-      const old = await group.findLeader()
+      const old = await group.waitForLeader()
       const [lost, ...others] = names.filter((name) => name !== old.name)
       await addLearner(group, old, 'x')
       // The leader, one more and the new voter are three of five, and two of the four before.
@@ -219,7 +219,7 @@
         await group.run(5)
         expect(group.countLeases(), `seed ${seed} after ${spent} ms`).to.be.at.most(1)
       }
-      const leader = await group.findLeader(old.name)
+      const leader = await group.waitForLeader(old.name)
       expect(others, `seed ${seed}`).to.include(leader.name)
       await group.close()
     }
--- a/packages/control/src/__tests__/lostDisks.spec.ts
+++ b/packages/control/src/__tests__/lostDisks.spec.ts
@@ -59,7 +59,7 @@
           const what = `seed ${seed} without the disks of ${lost.join()}`
           const group = await createTestGroup(NAMES, seed)
           const random = createRandomSource(seed)
-          await group.propose(await group.findLeader(), buildTable(7))
+          await group.propose(await group.waitForLeader(), buildTable(7))
           const disks = await group.losePower(NAMES)
           const kept = NAMES.filter((name) => !lost.includes(name))
           for (const name of listReturns(lost, kept)) {
@@ -72,7 +72,7 @@
             })
             await group.run(random.nextInt(ELECTION_MS * 3))
           }
-          const leader = await group.findLeader()
+          const leader = await group.waitForLeader()
           expect(kept, what).to.include(leader.name)
           // What was acknowledged is still there: 7 is not new. And the group takes what is new.
           const again = await group.propose(leader, buildTable(7))
--- a/packages/control/src/__tests__/lostProof.spec.ts
+++ b/packages/control/src/__tests__/lostProof.spec.ts
@@ -23,7 +23,7 @@
 /** Cuts the links between two sets of addresses in both directions. */
 function applyCut(group: TestGroup, some: readonly string[], others: readonly string[]): void {
   for (const one of some) {
-    for (const other of others) group.cut.add(`${one}>${other}`).add(`${other}>${one}`)
+    for (const other of others) group.cutLinks.add(`${one}>${other}`).add(`${other}>${one}`)
   }
 }
 
@@ -33,7 +33,7 @@
   it('takes it out of every group that decides, also where the newest has it as a learner', async () => {
     for (const seed of [1, 2, 3]) {
       const group = await createTestGroup(names, seed)
-      const old = await group.findLeader()
+      const old = await group.waitForLeader()
       const [demoted, near, far] = names.filter((name) => name !== old.name)
       await group.run(ELECTION_MS)
       // A voter that fell silent is made a learner; the change reaches one other member only.
@@ -43,10 +43,10 @@
         () => group.members.get(near)?.member.status().members[demoted].kind === 'learner',
         'the change has reached one',
       )
-      group.frozen.add(old.name)
+      group.frozenMembers.add(old.name)
       await group.loseDisks([demoted])
       group.heal()
-      const leader = await group.findLeader()
+      const leader = await group.waitForLeader()
       await group.propose(leader, buildTable(7))
       await group.close()
     }
@@ -55,7 +55,7 @@
   it('is none where a member has moved to the address, so that no term has two leaders', async () => {
     for (let seed = 1; seed <= 40; seed += 1) {
       const group = await createTestGroup(names, seed)
-      await group.propose(await group.findLeader(), buildTable(7))
+      await group.propose(await group.waitForLeader(), buildTable(7))
       const disks = await group.losePower(names)
       const urls: Record<string, string> = { a: 'c', c: 'a', b: 'b', d: 'd' }
       for (const name of names) {
@@ -77,7 +77,7 @@
 
   it('is needed where a name stays: an emptied member votes only once it is taken in again', async () => {
     const group = await createTestGroup(['a', 'b', 'c'])
-    const leader = await group.findLeader()
+    const leader = await group.waitForLeader()
     const applyKind = async (kind: 'learner' | 'voter') => {
       let isDone = false
       void startChange(leader, 'x', kind).then(() => (isDone = true))
--- a/packages/control/src/__tests__/membership.spec.ts
+++ b/packages/control/src/__tests__/membership.spec.ts
@@ -18,7 +18,7 @@
   beforeEach(async () => {
     const folder = createMemoryFolder()
     store = await openLogStore({ folder, logger: createQuietLogger(), onFailure: () => {} })
-    await store.saveBallot({ term: 1, votedFor: 'a', mayVote: true })
+    await store.saveVoteState({ term: 1, votedFor: 'a', mayVote: true })
   })
   afterEach(() => store.close())
 
@@ -31,10 +31,10 @@
     const observe = (index: number, members: MemberMap) =>
       membership.observe({ index, term: 1, command: { group: 'members', members } })
     observe(5, first)
-    expect(membership.listElecting(0)).to.deep.equal([founders, first])
+    expect(membership.listElectionGroups(0)).to.deep.equal([founders, first])
     observe(9, second)
     // Nothing says that the log is committed, but the second change was begun.
-    expect(membership.listElecting(0)).to.deep.equal([first, second])
+    expect(membership.listElectionGroups(0)).to.deep.equal([first, second])
   })
 })
 
@@ -42,7 +42,7 @@
   it('is sent to the members at once, not with the next heartbeat', async () => {
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const group = await createTestGroup(['a', 'b', 'c'], seed)
-      const leader = await group.findLeader()
+      const leader = await group.waitForLeader()
       await group.run(ELECTION_MS)
       const { members } = leader.member.status()
       let isDone = false
--- a/packages/control/src/__tests__/raft.spec.ts
+++ b/packages/control/src/__tests__/raft.spec.ts
@@ -28,7 +28,7 @@
 describe('the control group', () => {
   let group: TestGroup
 
-  const findLeader = (other?: string) => group.findLeader(other)
+  const findLeader = (other?: string) => group.waitForLeader(other)
   const propose = (leader: TestMember, command: unknown) => group.propose(leader, command)
 
   afterEach(() => group.close())
@@ -73,7 +73,7 @@
   it('a leader that can send but not hear steps down, and another serves', async () => {
     group = await createTestGroup(NAMES)
     const old = await findLeader()
-    for (const name of NAMES) if (name !== old.name) group.cut.add(`${name}>${old.name}`)
+    for (const name of NAMES) if (name !== old.name) group.cutLinks.add(`${name}>${old.name}`)
     const next = await findLeader(old.name)
     expect(((await propose(next, buildClaim('k', 'r'))) as OpenResult).kind).to.equal('granted')
   })
@@ -81,9 +81,9 @@
   it('a paused leader finds its lease over when it wakes', async () => {
     group = await createTestGroup(NAMES)
     const old = await findLeader()
-    group.frozen.add(old.name)
+    group.frozenMembers.add(old.name)
     await findLeader(old.name)
-    group.frozen.delete(old.name)
+    group.frozenMembers.delete(old.name)
     // A frozen process sees its monotonic clock jump when it wakes.
     old.timers.advance(ELECTION_MS * 10)
     expect(old.member.status().hasLease).to.equal(false)
--- a/packages/control/src/__tests__/raftRestart.spec.ts
+++ b/packages/control/src/__tests__/raftRestart.spec.ts
@@ -28,7 +28,7 @@
   it('that starts again together has a leader within half an election timeout', async () => {
     for (let seed = 1; seed <= 8; seed += 1) {
       group = await createTestGroup(NAMES, seed)
-      await group.findLeader()
+      await group.waitForLeader()
       // Nobody can have received from a leader for as long as the processes have run: they began just now.
       await group.restart(NAMES, 0)
       let steps = 0
@@ -45,7 +45,7 @@
   it('does not wait for the lease of a leader whose disk is lost', async () => {
     for (let seed = 1; seed <= 8; seed += 1) {
       group = await createTestGroup(NAMES, seed)
-      const old = await group.findLeader()
+      const old = await group.waitForLeader()
       await group.run(ELECTION_MS)
       const others = NAMES.filter((name) => name !== old.name)
       await group.restart(others, 0)
@@ -59,7 +59,7 @@
   it('members that have just started vote for nobody while an old lease may hold', async () => {
     for (let seed = 1; seed <= 8; seed += 1) {
       group = await createTestGroup(NAMES, seed)
-      const old = await group.findLeader()
+      const old = await group.waitForLeader()
       await group.run(ELECTION_MS)
       // The leader runs on, cut off, and serves by the lease that it got from the other two.
       group.isolate(old.name)
@@ -74,7 +74,7 @@
           'leader',
         )
       }
-      await group.findLeader(old.name)
+      await group.waitForLeader(old.name)
       expect(group.countLeases()).to.equal(1)
       if (seed < 8) await group.close()
     }
@@ -82,7 +82,7 @@
 
   it('a member that followed a leader only remembers it over a restart', async () => {
     group = await createTestGroup(NAMES)
-    const old = await group.findLeader()
+    const old = await group.waitForLeader()
     await group.run(ELECTION_MS)
     const [follower] = NAMES.filter((name) => name !== old.name)
     await group.restart([follower], 0)
@@ -116,13 +116,13 @@
     const names = [...NAMES, 'd']
     for (const [seed, pair] of listPairs(names).entries()) {
       group = await createTestGroup(names, seed + 1)
-      await group.propose(await group.findLeader(), buildTable(7))
+      await group.propose(await group.waitForLeader(), buildTable(7))
       await group.restart(
         names.filter((name) => !pair.includes(name)),
         0,
       )
       await group.loseDisks(pair)
-      const leader = await group.findLeader()
+      const leader = await group.waitForLeader()
       expect(pair, 'an empty disk does not lead').not.to.include(leader.name)
       // The group serves again, and what was acknowledged is still there: 7 is not new.
       const again = await group.propose(leader, buildTable(7))
@@ -142,7 +142,7 @@
       ],
     ]) {
       group = await createTestGroup(names)
-      await group.findLeader()
+      await group.waitForLeader()
       await group.restart(
         names.filter((name) => !lost.includes(name)),
         0,
@@ -157,27 +157,27 @@
   it('waits for voters that may come back with their disks', async () => {
     const names = [...NAMES, 'd']
     group = await createTestGroup(names)
-    await group.propose(await group.findLeader(), buildTable(7))
+    await group.propose(await group.waitForLeader(), buildTable(7))
     await group.restart(names, 0)
     // Two are away and nothing tells that their disks are lost.
-    group.frozen.add('a')
-    group.frozen.add('b')
+    group.frozenMembers.add('a')
+    group.frozenMembers.add('b')
     await group.run(ELECTION_MS * 30)
     expect(group.leader(), 'two of four are away').to.equal(undefined)
-    group.frozen.delete('b')
-    await group.findLeader()
+    group.frozenMembers.delete('b')
+    await group.waitForLeader()
     await group.close()
 
     const five = [...names, 'e']
     group = await createTestGroup(five)
-    await group.propose(await group.findLeader(), buildTable(7))
+    await group.propose(await group.waitForLeader(), buildTable(7))
     await group.restart(five, 0)
-    group.frozen.add('a')
+    group.frozenMembers.add('a')
     await group.loseDisks(['c', 'd'])
     await group.run(ELECTION_MS * 30)
     expect(group.leader(), 'two of five are lost and one is away').to.equal(undefined)
-    group.frozen.delete('a')
-    const again = await group.propose(await group.findLeader(), buildTable(7))
+    group.frozenMembers.delete('a')
+    const again = await group.propose(await group.waitForLeader(), buildTable(7))
     expect(again).to.deep.equal({ isNewer: false, version: 7 })
   })
 
@@ -185,15 +185,15 @@
     const names = [...NAMES, 'd']
     for (const [seed, [away, lost]] of [...listPairs(names), ...listPairs(names)].entries()) {
       group = await createTestGroup(names, seed + 1)
-      const old = await group.findLeader()
+      const old = await group.waitForLeader()
       await group.propose(old, buildTable(7))
       const what = `${lost} is lost and ${away} is away, ${old.name} led`
       // The one that is away runs on and may lead, by a lease that rests on the disk now lost.
       group.isolate(away)
       await group.loseDisks([lost])
       for (const other of group.members.values()) {
-        group.cut.add(`${away}>${other.url}`)
-        group.cut.add(`${other.url}>${away}`)
+        group.cutLinks.add(`${away}>${other.url}`)
+        group.cutLinks.add(`${other.url}>${away}`)
       }
       let leases = 0
       const runWatched = async (duration: number) => {
@@ -211,7 +211,7 @@
       group.heal()
       await runWatched(ELECTION_MS * 10)
       expect(leases, what).to.equal(1)
-      const last = await group.propose(await group.findLeader(), buildTable(8))
+      const last = await group.propose(await group.waitForLeader(), buildTable(8))
       expect(last, what).to.deep.equal({ isNewer: false, version: 8 })
       if (seed < 11) await group.close()
     }
@@ -219,7 +219,7 @@
 
   it('an instance that was taken in by a snapshot votes as others do', async () => {
     group = await createTestGroup(NAMES, 1, 20)
-    const leader = await group.findLeader()
+    const leader = await group.waitForLeader()
     const newcomer = await group.start('x', { isFounding: false })
     const take = async (kind: 'learner' | 'voter') => {
       const members = { ...leader.member.status().members, x: { url: 'x', kind } }
@@ -246,7 +246,7 @@
   it('counts a change of the group only with a majority of the group before it', async () => {
     const names = [...NAMES, 'd']
     group = await createTestGroup(names)
-    const leader = await group.findLeader()
+    const leader = await group.waitForLeader()
     const others = names.filter((name) => name !== leader.name)
     await group.start('e', { isFounding: false })
     const { members } = leader.member.status()
@@ -270,7 +270,7 @@
 
   it('commits again after the next disk is lost, when an earlier lost one was replaced', async () => {
     group = await createTestGroup(NAMES)
-    let leader = await group.findLeader()
+    let leader = await group.waitForLeader()
     const [first, second] = NAMES.filter((name) => name !== leader.name)
     await group.loseDisks([first])
     const replacement = `${first}#new`
@@ -287,7 +287,7 @@
     await group.propose(leader, buildTable(7))
     await group.restart([leader.name, replacement], 0)
     await group.loseDisks([second])
-    leader = await group.findLeader()
+    leader = await group.waitForLeader()
     const again = await group.propose(leader, buildTable(7))
     expect(again).to.deep.equal({ isNewer: false, version: 7 })
   })
--- a/packages/control/src/__tests__/suspendedMachine.spec.ts
+++ b/packages/control/src/__tests__/suspendedMachine.spec.ts
@@ -16,11 +16,11 @@
   afterEach(() => group.close())
 
   it('has no lease any more on waking, where another leads', async () => {
-    const old = await group.findLeader()
-    group.frozen.add(old.name)
-    const next = await group.findLeader(old.name)
+    const old = await group.waitForLeader()
+    group.frozenMembers.add(old.name)
+    const next = await group.waitForLeader(old.name)
     await group.run(4 * ELECTION_MS)
-    group.frozen.delete(old.name)
+    group.frozenMembers.delete(old.name)
     old.timers.suspend(next.timers.now() - old.timers.now())
     expect(old.member.status().hasLease).to.equal(false)
     expect(() => old.member.checkCurrent()).to.throw()
@@ -28,7 +28,7 @@
   })
 
   it('is not deposed because its time of day was set ahead', async () => {
-    const leader = await group.findLeader()
+    const leader = await group.waitForLeader()
     const { term } = leader.member.status()
     leader.timers.setWall(60_000)
     expect(leader.member.status().hasLease).to.equal(false)
@@ -37,7 +37,7 @@
   })
 
   it('helps nobody to depose a leader that it followed before, any sooner than without', async () => {
-    const leader = await group.findLeader()
+    const leader = await group.waitForLeader()
     const [voter] = [...group.members.values()].filter(({ name }) => name !== leader.name)
     voter.timers.suspend(ELECTION_MS / 4)
     const { lastIndex, term } = leader.member.status()
--- a/packages/control/src/__tests__/votes.spec.ts
+++ b/packages/control/src/__tests__/votes.spec.ts
@@ -1,7 +1,7 @@
 import { ConnectionError } from '@spoolgate/core'
 import { expect } from 'chai'
 import type { MemberMap, RaftTransport, VoteReply } from '../raft/messages.js'
-import { askMembersForVotes } from '../raft/votes.js'
+import { runVoteRound } from '../raft/votes.js'
 
 function buildVoters(names: readonly string[]): MemberMap {
   return Object.fromEntries(names.map((name) => [name, { url: name, kind: 'voter' }]))
@@ -23,9 +23,9 @@
     return reply(answers[url])
   }
   const found: string[] = []
-  const outcome = await askMembersForVotes({
+  const outcome = await runVoteRound({
     groups: options.groups,
-    lostBefore: options.lostBefore ?? [],
+    knownLostVoters: options.lostBefore ?? [],
     transport: { send } as unknown as RaftTransport,
     request: {
       isPreVote: options.isPreVote ?? false,
@@ -35,8 +35,8 @@
       lastTerm: 1,
       endedTerms: {},
     },
-    own: reply('a'),
-    onHigherTerm: async () => {},
+    ownReply: reply('a'),
+    onReplyTerm: async () => {},
     onLostVoter: (voter) => void found.push(voter),
   })
   return { ...outcome, found }
--- a/packages/control/src/log/logStore.ts
+++ b/packages/control/src/log/logStore.ts
@@ -27,7 +27,7 @@
 }
 
 /** Term and vote, which must survive a restart. */
-export interface Ballot {
+export interface VoteState {
   readonly term: number
   readonly votedFor: string | undefined
   /**
@@ -50,13 +50,13 @@
 /** A change to the log, as written to the file. */
 type LogChange =
   | { readonly kind: 'base'; readonly index: number; readonly term: number }
-  | { readonly kind: 'ballot'; readonly ballot: Ballot }
+  | { readonly kind: 'ballot'; readonly ballot: VoteState }
   | { readonly kind: 'append'; readonly entries: readonly LogEntry[] }
   | { readonly kind: 'truncate'; readonly from: number }
 
 /** A durable log. */
 export interface LogStore {
-  ballot(): Ballot
+  voteState(): VoteState
   snapshot(): Snapshot | undefined
   /** Index of the last entry, durable or not. */
   lastIndex(): number
@@ -64,13 +64,13 @@
   /** Index of the last entry that is on the disk. */
   durableIndex(): number
   /** Index that the snapshot covers; entries at or below it are gone. */
-  baseIndex(): number
+  snapshotIndex(): number
   /** Term of an entry; undefined when it is not held. */
   findTerm(index: number): number | undefined
   /** Entries from `from` on, at most `limit`. */
-  list(from: number, limit: number): LogEntry[]
+  listEntries(from: number, limit: number): LogEntry[]
   /** Saves term and vote; resolves once they are on the disk. */
-  saveBallot(ballot: Ballot): Promise<void>
+  saveVoteState(ballot: VoteState): Promise<void>
   /** Appends entries; resolves once they are on the disk. */
   append(entries: readonly LogEntry[]): Promise<void>
   /** Removes the entries from `from` on. */
@@ -94,7 +94,7 @@
 const TEMPORARY_SUFFIX = '.new'
 
 interface LoadedLog {
-  ballot: Ballot
+  ballot: VoteState
   base: { index: number; term: number }
   entries: LogEntry[]
   length: number
@@ -251,18 +251,18 @@
   }
 
   return {
-    ballot: () => ballot,
+    voteState: () => ballot,
     snapshot: () => snapshot,
     lastIndex,
     lastTerm: () => entries.at(-1)?.term ?? base.term,
     durableIndex: () => durableIndex,
-    baseIndex: () => base.index,
+    snapshotIndex: () => base.index,
     findTerm,
-    list: (from, limit) => {
+    listEntries: (from, limit) => {
       const start = from - base.index - 1
       return entries.slice(start, start + limit)
     },
-    saveBallot: (next) => {
+    saveVoteState: (next) => {
       ballot = next
       return write({ kind: 'ballot', ballot: next })
     },
--- a/packages/control/src/raft/appliedLog.ts
+++ b/packages/control/src/raft/appliedLog.ts
@@ -3,12 +3,12 @@
 import type { LogStore, Snapshot } from '../log/logStore.js'
 import { isGroupCommand, type Membership, type SavedState } from './membership.js'
 import type { Proposals } from './proposals.js'
-import type { ReplicatedMachine } from './types.js'
+import type { StateMachine } from './types.js'
 
 /** Options of {@link createAppliedLog}. */
 export interface AppliedLogOptions {
   readonly store: LogStore
-  readonly machine: ReplicatedMachine
+  readonly machine: StateMachine
   readonly membership: Membership
   readonly proposals: Proposals
   readonly logger: Logger
@@ -33,8 +33,8 @@
 /** Loads the snapshot of the store, if there is one, into machine and membership. */
 export function createAppliedLog(options: AppliedLogOptions): AppliedLog {
   const { store, machine, membership, proposals, logger } = options
-  let commitIndex = store.baseIndex()
-  let appliedIndex = store.baseIndex()
+  let commitIndex = store.snapshotIndex()
+  let appliedIndex = store.snapshotIndex()
   let isCompacting = false
 
   const loadState = () => {
@@ -43,17 +43,20 @@
     membership.reload()
   }
   const compactWhenLarge = async () => {
-    if (isCompacting || appliedIndex - store.baseIndex() < options.snapshotEvery) return
+    if (isCompacting || appliedIndex - store.snapshotIndex() < options.snapshotEvery) return
     isCompacting = true
-    const state: SavedState = { machine: machine.save(), members: membership.findAt(appliedIndex) }
+    const state: SavedState = {
+      machine: machine.save(),
+      members: membership.findMembersAt(appliedIndex),
+    }
     const snapshot = { index: appliedIndex, term: store.findTerm(appliedIndex) ?? 0, state }
     await store.compact(snapshot)
-    logger.info('raft.compacted', { index: store.baseIndex() })
+    logger.info('raft.compacted', { index: store.snapshotIndex() })
     isCompacting = false
   }
   const applyCommitted = () => {
     while (appliedIndex < commitIndex) {
-      const [entry] = store.list(appliedIndex + 1, 1)
+      const [entry] = store.listEntries(appliedIndex + 1, 1)
       if (!entry) return
       appliedIndex = entry.index
       const result = isGroupCommand(entry.command)
@@ -70,7 +73,7 @@
     advance: async (next) => {
       if (next <= commitIndex) return
       commitIndex = next
-      const settled = membership.settle(commitIndex)
+      const settled = membership.recordCommitted(commitIndex)
       applyCommitted()
       await settled
     },
--- a/packages/control/src/raft/electionReport.ts
+++ b/packages/control/src/raft/electionReport.ts
@@ -15,7 +15,7 @@
 }
 
 /** A round of votes that was not won. */
-export interface LostRound {
+export interface FailedRound {
   readonly term: number
   readonly isPreVote: boolean
   /** Group whose voters were asked. */
@@ -27,9 +27,9 @@
 /** See {@link createElectionReport}. */
 export interface ElectionReport {
   /** Notes a round of votes that was not won. */
-  recordLostRound(round: LostRound): void
+  recordFailedRound(round: FailedRound): void
   /** Notes that a member without a leader may not stand for election itself. */
-  recordBystander(kind: MemberKind | undefined, mayVote: boolean): void
+  recordIneligible(kind: MemberKind | undefined, mayVote: boolean): void
   /** Notes, once for each voter, that its address is answered under another name. */
   recordLostVoter(voter: string, url: string, found: string): void
   /** Notes the leader that is known now; undefined for none. */
@@ -37,9 +37,9 @@
 }
 
 /** Least time between two lines of the same content, in ms: a line a second can be read along. */
-const SAME_PERIOD_MS = 1_000
+const REPEATED_LINE_INTERVAL_MS = 1_000
 /** Least time between two lines of different content, in ms: a tenth of that, for what alternates. */
-const CHANGED_PERIOD_MS = 100
+const CHANGED_LINE_INTERVAL_MS = 100
 
 /** Creates the report of a member that knows no leader. */
 export function createElectionReport(options: ElectionReportOptions): ElectionReport {
@@ -53,7 +53,7 @@
   let leaderlessSince: number | undefined = timers.now()
 
   const isDue = (content: string) => {
-    const period = content === lastContent ? SAME_PERIOD_MS : CHANGED_PERIOD_MS
+    const period = content === lastContent ? REPEATED_LINE_INTERVAL_MS : CHANGED_LINE_INTERVAL_MS
     if (timers.now() - writtenAt < period) return false
     lastContent = content
     writtenAt = timers.now()
@@ -61,7 +61,7 @@
   }
   const leaderlessMs = () => timers.now() - (leaderlessSince ?? timers.now())
   return {
-    recordLostRound: ({ term, isPreVote, members, answers }) => {
+    recordFailedRound: ({ term, isPreVote, members, answers }) => {
       const kinds = Object.fromEntries(
         Object.entries(members).map(([name, { kind }]) => [name, kind]),
       )
@@ -70,7 +70,7 @@
       const fields = { term, isPreVote, answers, kinds, leaderlessMs: leaderlessMs() }
       logger.warn('raft.notElected', fields)
     },
-    recordBystander: (kind, mayVote) => {
+    recordIneligible: (kind, mayVote) => {
       if (!isDue(JSON.stringify([kind, mayVote]))) return
       logger.warn('raft.notStanding', { kind, mayVote, leaderlessMs: leaderlessMs() })
     },
--- a/packages/control/src/raft/group.ts
+++ b/packages/control/src/raft/group.ts
@@ -22,7 +22,7 @@
  * meet it: of an even group that is half, of an odd one a majority as ever. Where as many are lost as
  * make a majority, all that hold an entry may be gone.
  */
-export function countGrants(members: MemberMap, lost: ReadonlySet<string>): number {
+export function countElectionQuorum(members: MemberMap, lost: ReadonlySet<string>): number {
   const voters = listVoters(members)
   const majority = countMajority(members)
   const lostHere = voters.filter((name) => lost.has(name)).length
@@ -38,7 +38,7 @@
 }
 
 /** Counts the members that two groups do not have in common, in name and kind. */
-export function countDifferences(a: MemberMap, b: MemberMap): number {
+export function countChangedMembers(a: MemberMap, b: MemberMap): number {
   const names = new Set([...Object.keys(a), ...Object.keys(b)])
   return [...names].filter((name) => a[name]?.kind !== b[name]?.kind).length
 }
--- a/packages/control/src/raft/leasePromise.ts
+++ b/packages/control/src/raft/leaseGrant.ts
@@ -6,12 +6,12 @@
  * majority listens, and not an election timeout later.
  */
 import type { RandomSource, TimerService } from '@spoolgate/core'
-import type { Ballot, LeaseHolder } from '../log/logStore.js'
+import type { VoteState, LeaseHolder } from '../log/logStore.js'
 import type { EndedTerms } from './messages.js'
 import { isLeaseEnded } from './votes.js'
 
-/** Options of {@link createLeasePromise}. */
-export interface LeasePromiseOptions {
+/** Options of {@link createLeaseGrant}. */
+export interface LeaseGrantOptions {
   readonly timers: TimerService
   readonly random: RandomSource
   /** Shortest election timeout, in ms. */
@@ -20,16 +20,16 @@
   readonly startedAt: number
 }
 
-/** The promise; see {@link createLeasePromise}. */
-export interface LeasePromise {
+/** The promise; see {@link createLeaseGrant}. */
+export interface LeaseGrant {
   /** Records a message of a leader. */
   recordContact(): void
   /** Whether a leader's message came in this life so lately that it counts as alive. */
   isLeaderAlive(): boolean
   /** Finds the leader of an earlier life whose lease may still rest on this member. */
-  findHolder(ballot: Ballot, endedTerms: EndedTerms): LeaseHolder | undefined
+  findLeaseHolder(ballot: VoteState, endedTerms: EndedTerms): LeaseHolder | undefined
   /** Draws the time until this member stands for election, in ms. */
-  drawElectionDelay(): number
+  drawElectionTimeout(): number
 }
 
 /**
@@ -37,34 +37,34 @@
  * leader in this life. Its pre-votes raise no term and depose nobody, so that it can ask again while
  * the others are still starting.
  */
-const FIRST_TRY_RATIOS = [0.06, 0.2] as const
+const STARTUP_RETRY_RATIOS = [0.06, 0.2] as const
 /** Election timeouts after the start from which on such a member asks no more often than others. */
-const FIRST_TRIES_TIMEOUTS = 6
+const STARTUP_PERIOD_TIMEOUTS = 6
 /** Holder in place of one that an older version of this program did not write down. */
 const UNKNOWN_HOLDER: LeaseHolder = { name: '', term: Number.MAX_SAFE_INTEGER }
 
 /** Creates the promise of a process that knows no leader. */
-export function createLeasePromise(options: LeasePromiseOptions): LeasePromise {
+export function createLeaseGrant(options: LeaseGrantOptions): LeaseGrant {
   const { timers, random, electionMs, startedAt } = options
   let receivedAt: number | undefined
 
   const isStarting = () =>
-    receivedAt === undefined && timers.now() - startedAt < electionMs * FIRST_TRIES_TIMEOUTS
+    receivedAt === undefined && timers.now() - startedAt < electionMs * STARTUP_PERIOD_TIMEOUTS
   return {
     recordContact: () => {
       receivedAt = timers.now()
     },
     isLeaderAlive: () => receivedAt !== undefined && timers.now() - receivedAt < electionMs,
-    findHolder: ({ leaseHolder, term }, endedTerms) => {
+    findLeaseHolder: ({ leaseHolder, term }, endedTerms) => {
       const isOver = receivedAt !== undefined || timers.now() - startedAt >= electionMs
       // Without any term this member has never followed anybody.
       if (isOver || term === 0) return undefined
       const holder = leaseHolder ?? UNKNOWN_HOLDER
       return isLeaseEnded(holder, endedTerms) ? undefined : holder
     },
-    drawElectionDelay: () => {
+    drawElectionTimeout: () => {
       if (!isStarting()) return electionMs * (1 + random.next())
-      const [least, most] = FIRST_TRY_RATIOS
+      const [least, most] = STARTUP_RETRY_RATIOS
       return electionMs * (least + (most - least) * random.next())
     },
   }
--- a/packages/control/src/raft/member.ts
+++ b/packages/control/src/raft/member.ts
@@ -5,10 +5,10 @@
  */
 import { SpoolgateError } from '@spoolgate/core'
 import { Subject, type Subscription } from 'rxjs'
-import type { Ballot, LeaseHolder, LogEntry } from '../log/logStore.js'
+import type { VoteState, LeaseHolder, LogEntry } from '../log/logStore.js'
 import { createAppliedLog } from './appliedLog.js'
 import { createElectionReport } from './electionReport.js'
-import { countDifferences, countMajority } from './group.js'
+import { countChangedMembers, countMajority } from './group.js'
 import type {
   AppendReply,
   AppendRequest,
@@ -19,12 +19,12 @@
   VoteReply,
   VoteRequest,
 } from './messages.js'
-import { createLeasePromise } from './leasePromise.js'
+import { createLeaseGrant } from './leaseGrant.js'
 import { createMembership, type GroupCommand } from './membership.js'
 import { createProposals } from './proposals.js'
 import { createReplicator, type Replicator } from './replicator.js'
 import type { RaftMember, RaftMemberOptions, RaftRole } from './types.js'
-import { askMembersForVotes } from './votes.js'
+import { runVoteRound } from './votes.js'
 
 /** Part of the election timeout for which an acknowledged heartbeat gives a lease. */
 const LEASE_RATIO = 0.9
@@ -38,7 +38,7 @@
   let role: RaftRole = 'follower'
   let leader: string | undefined
   let leaderUrl: string | undefined
-  const promise = createLeasePromise({
+  const promise = createLeaseGrant({
     timers,
     random,
     electionMs: options.electionMs,
@@ -54,9 +54,10 @@
   /** Followers take one message at a time, so that log changes never overlap. */
   let inbox: Promise<unknown> = Promise.resolve()
 
-  const term = () => store.ballot().term
+  const term = () => store.voteState().term
   const membership = createMembership({ name, store, founders: options.founders })
-  const saveBallot = (change: Partial<Ballot>) => store.saveBallot({ ...store.ballot(), ...change })
+  const saveBallot = (change: Partial<VoteState>) =>
+    store.saveVoteState({ ...store.voteState(), ...change })
   if (options.isFounding && store.lastIndex() === 0 && term() === 0) {
     void saveBallot({ mayVote: true })
   }
@@ -78,7 +79,7 @@
   const startElectionTimer = () => {
     electionTimer?.unsubscribe()
     if (isClosed) return
-    electionTimer = timers.after(promise.drawElectionDelay()).subscribe(() => {
+    electionTimer = timers.after(promise.drawElectionTimeout()).subscribe(() => {
       startElectionTimer()
       if (role !== 'leader') {
         // Learners stand in no election, and must see all the same that their leader is gone.
@@ -107,8 +108,8 @@
   const appendOwn = (command: unknown): LogEntry => {
     const entry = { index: store.lastIndex() + 1, term: term(), command }
     membership.observe(entry)
-    void store.append([entry]).then(() => replicator?.recordOwn())
-    replicator?.wake()
+    void store.append([entry]).then(() => replicator?.recordLocalAppend())
+    replicator?.sendNow()
     return entry
   }
   const becomeLeader = (lost: readonly string[]) => {
@@ -126,17 +127,17 @@
       timers,
       heartbeatMs: options.heartbeatMs,
       listMembers: membership.members,
-      listDeciding: () => membership.listDeciding(commitIndex()),
+      listCommitGroups: () => membership.listCommitGroups(commitIndex()),
       commitIndex,
       onCommit: (index) => {
-        const isChanging = membership.changedAt() > commitIndex()
+        const isChanging = membership.lastChangeIndex() > commitIndex()
         void applied.advance(index)
         // Until a new voter knows that it is one, the loss of the others would leave it no vote.
-        if (isChanging && membership.changedAt() <= index) replicator?.wake()
+        if (isChanging && membership.lastChangeIndex() <= index) replicator?.sendNow()
       },
       onHigherTerm: (found) => void adoptTerm(found),
-      onLost: () => becomeFollower(undefined, undefined),
-      lostAfterMs: options.electionMs * 2,
+      onQuorumLost: () => becomeFollower(undefined, undefined),
+      quorumTimeoutMs: options.electionMs * 2,
     })
     appendOwn(membership.buildFirstCommand(lost))
     elected.next(term())
@@ -145,12 +146,12 @@
   const askForVotes = async (isPreVote: boolean, voteTerm: number, endedTerms: EndedTerms) => {
     // A member stands for election only once its own promise no longer keeps it from voting.
     const heldBackBy = isPreVote ? findHolder(endedTerms) : undefined
-    const groups = membership.listElecting(commitIndex())
-    const outcome = await askMembersForVotes({
+    const groups = membership.listElectionGroups(commitIndex())
+    const outcome = await runVoteRound({
       groups,
-      lostBefore: [...lostVoters, ...membership.listLost()],
+      knownLostVoters: [...lostVoters, ...membership.listLostVoters()],
       transport,
-      onHigherTerm: async (found) => {
+      onReplyTerm: async (found) => {
         if (found > term()) await adoptTerm(found)
       },
       onLostVoter: (voter, url, found) => {
@@ -158,7 +159,7 @@
         lostVoters.add(voter)
         report.recordLostVoter(voter, url, found)
       },
-      own: {
+      ownReply: {
         voter: name,
         term: voteTerm,
         isGranted: heldBackBy === undefined,
@@ -178,7 +179,7 @@
     const isFollowing = leader !== undefined || isClosed
     if (!outcome.isWon && !isFollowing) {
       const members = membership.members()
-      report.recordLostRound({ term: voteTerm, isPreVote, members, answers: outcome.answers })
+      report.recordFailedRound({ term: voteTerm, isPreVote, members, answers: outcome.answers })
     }
     return outcome
   }
@@ -194,9 +195,9 @@
   const isCampaigning = () => campaignTerm !== undefined && isCandidateOf(campaignTerm)
   const runElection = async () => {
     if (isClosed || role === 'leader') return
-    const { mayVote } = store.ballot()
+    const { mayVote } = store.voteState()
     if (!membership.isVoter() || !mayVote) {
-      report.recordBystander(membership.members()[name]?.kind, mayVote)
+      report.recordIneligible(membership.members()[name]?.kind, mayVote)
       return
     }
     const started = term()
@@ -219,20 +220,20 @@
     (request.lastTerm === store.lastTerm() && request.lastIndex >= store.lastIndex())
   const hasLiveLeader = () => (role === 'leader' ? hasLease() : promise.isLeaderAlive())
   const findHolder = (endedTerms: EndedTerms) =>
-    promise.findHolder(store.ballot(), { ...endedTerms, [name]: findEndedTerm() })
+    promise.findLeaseHolder(store.voteState(), { ...endedTerms, [name]: findEndedTerm() })
   /** Highest term that this member certainly does not lead, now or later. */
   const findEndedTerm = () => (role === 'leader' || isCampaigning() ? term() - 1 : term())
   const hasLease = () => {
     if (role !== 'leader' || !replicator) return false
     // The others' clocks went on while this machine was suspended; they may have another leader.
     const now = timers.promiseNow()
-    return now < replicator.promisedAt() + options.electionMs * LEASE_RATIO
+    return now < replicator.leaseConfirmedAt() + options.electionMs * LEASE_RATIO
   }
 
   const findRefusal = (request: VoteRequest): VoteRefusal | undefined => {
     // A member that still receives from its leader does not help to depose it; the lease rests on this.
     if (hasLiveLeader()) return 'leaderAlive'
-    if (!store.ballot().mayVote) return 'mayNotVote'
+    if (!store.voteState().mayVote) return 'mayNotVote'
     if (request.term < term()) return 'oldTerm'
     return isUpToDate(request) ? undefined : 'behind'
   }
@@ -251,7 +252,7 @@
     if (holder) return reply('heldBack', holder)
     if (request.isPreVote) return reply()
     await adoptTerm(request.term)
-    const { votedFor } = store.ballot()
+    const { votedFor } = store.voteState()
     if (term() !== request.term || (votedFor !== undefined && votedFor !== request.candidate)) {
       return reply(term() === request.term ? 'votedOther' : 'oldTerm')
     }
@@ -270,13 +271,13 @@
   }
   /** Whom this member follows must be on the disk before a lease can rest on its answer. */
   const saveLeaseHolder = async (leaderName: string, leaderTerm: number) => {
-    const known = store.ballot().leaseHolder
+    const known = store.voteState().leaseHolder
     if (known?.name === leaderName && known.term === leaderTerm) return
     await saveBallot({ leaseHolder: { name: leaderName, term: leaderTerm } })
   }
   const takeEntries = async (request: AppendRequest) => {
     const isHeld = (entry: LogEntry) =>
-      entry.index <= store.baseIndex() || store.findTerm(entry.index) === entry.term
+      entry.index <= store.snapshotIndex() || store.findTerm(entry.index) === entry.term
     const added = request.entries.filter((entry) => !isHeld(entry))
     if (added.length === 0) return
     if (added[0].index <= store.lastIndex()) {
@@ -294,9 +295,12 @@
     if (!(await acceptLeader(request))) return { term: term(), isAccepted: false, index: 0 }
     const { previousIndex, previousTerm, entries } = request
     const isMatching =
-      previousIndex <= store.baseIndex() || store.findTerm(previousIndex) === previousTerm
+      previousIndex <= store.snapshotIndex() || store.findTerm(previousIndex) === previousTerm
     if (!isMatching) {
-      const index = Math.max(store.baseIndex() + 1, Math.min(previousIndex, store.lastIndex() + 1))
+      const index = Math.max(
+        store.snapshotIndex() + 1,
+        Math.min(previousIndex, store.lastIndex() + 1),
+      )
       return { term: term(), isAccepted: false, index }
     }
     await takeEntries(request)
@@ -305,7 +309,7 @@
     // What the sender committed in its own term covers every change of the group before it.
     const isCurrent = matched >= request.commitIndex
     const isOfTerm = store.findTerm(request.commitIndex) === request.term
-    if (isCurrent && isOfTerm) await membership.recordTakenIn()
+    if (isCurrent && isOfTerm) await membership.enableVoting()
     return { term: term(), isAccepted: true, index: matched }
   }
   const installNow = async (request: InstallRequest): Promise<InstallReply> => {
@@ -360,10 +364,10 @@
     listFollowers: () => replicator?.listFollowers() ?? [],
     changeMembers: async (next) => {
       checkLeader()
-      if (membership.changedAt() > commitIndex() || applied.appliedTerm() !== term()) {
+      if (membership.lastChangeIndex() > commitIndex() || applied.appliedTerm() !== term()) {
         throw new SpoolgateError('conflict', 'a change of the group is under way; try again')
       }
-      if (countDifferences(membership.members(), next) > 1) {
+      if (countChangedMembers(membership.members(), next) > 1) {
         throw new SpoolgateError('invalidRequest', 'change the group by one member at a time')
       }
       await propose({ group: 'members', members: next } satisfies GroupCommand)
--- a/packages/control/src/raft/membership.ts
+++ b/packages/control/src/raft/membership.ts
@@ -34,28 +34,28 @@
   /**
    * Groups of which each must hold a majority before an entry counts as committed or a lease as held.
    * While a change of the group is in progress that is the one before as well: whoever is elected by
-   * half of it (see {@link countGrants}) then finds the change.
+   * half of it (see {@link countElectionQuorum}) then finds the change.
    */
-  listDeciding(commitIndex: number): readonly MemberMap[]
+  listCommitGroups(commitIndex: number): readonly MemberMap[]
   /** The same groups with the voters whose disks are lost; an election must be won in each. */
-  listElecting(commitIndex: number): readonly MemberMap[]
+  listElectionGroups(commitIndex: number): readonly MemberMap[]
   /** Voters that the log names as lost. */
-  listLost(): readonly string[]
+  listLostVoters(): readonly string[]
   /** Finds the group that was in force at an index. */
-  findAt(index: number): MemberMap
+  findMembersAt(index: number): MemberMap
   /**
    * Notes that the log is committed up to an index, for elections after a restart; resolves once that
    * is on the disk.
    */
-  settle(commitIndex: number): Promise<void>
+  recordCommitted(commitIndex: number): Promise<void>
   /**
    * Lets this member vote where the newest group has it as a learner. Only for a member that holds all
    * that was committed: an older group in the log may have had it as a learner before its disk was
    * emptied.
    */
-  recordTakenIn(): Promise<void>
+  enableVoting(): Promise<void>
   /** Index of the entry that last changed the group; 0 when the log holds none. */
-  changedAt(): number
+  lastChangeIndex(): number
   /** Builds the first entry of a leader that was elected without the voters whose disks were lost. */
   buildFirstCommand(lostVoters: readonly string[]): GroupCommand
   /** Notes an entry that was appended: changes of the group count from then on. */
@@ -74,8 +74,8 @@
 }
 
 /** A group with the index from which on it counts. */
-interface GroupAt {
-  readonly at: number
+interface GroupVersion {
+  readonly index: number
   readonly members: MemberMap
   /** Voters of the groups before whose disks were lost. */
   readonly lostVoters: readonly string[]
@@ -85,29 +85,29 @@
 export function createMembership(options: MembershipOptions): Membership {
   const { name, store } = options
   /** The groups that the log holds, oldest first. */
-  let groups: GroupAt[] = [{ at: 0, members: {}, lostVoters: [] }]
+  let groups: GroupVersion[] = [{ index: 0, members: {}, lostVoters: [] }]
   /** Index of the last change that a later one proves to be committed. */
   let provenChange = 0
 
   const newest = () => groups[groups.length - 1]
   const members = () => newest().members
-  const changedAt = () => (groups.length > 1 ? newest().at : 0)
+  const lastChangeIndex = () => (groups.length > 1 ? newest().index : 0)
   const listUnsettled = (commitIndex: number) => {
-    const settled = Math.max(commitIndex, provenChange, store.ballot().settledChange ?? 0)
-    const from = groups.findLastIndex(({ at }) => at <= settled)
+    const settled = Math.max(commitIndex, provenChange, store.voteState().settledChange ?? 0)
+    const from = groups.findLastIndex(({ index }) => index <= settled)
     // An instance that was taken in does not know the group before the first change in its log.
     return groups.slice(Math.max(from, 0)).filter(({ members }) => listVoters(members).length > 0)
   }
   const observe = ({ command, index }: LogEntry) => {
     if (!isGroupCommand(command) || command.group !== 'members') return
     // A change is begun only once the one before is committed, but where disks were lost.
-    if (!command.lostVoters) provenChange = changedAt()
-    groups.push({ at: index, members: command.members, lostVoters: command.lostVoters ?? [] })
+    if (!command.lostVoters) provenChange = lastChangeIndex()
+    groups.push({ index, members: command.members, lostVoters: command.lostVoters ?? [] })
   }
   return {
     members,
     isVoter: () => members()[name]?.kind === 'voter',
-    listDeciding: (commitIndex) => {
+    listCommitGroups: (commitIndex) => {
       const unsettled = listUnsettled(commitIndex)
       return unsettled.map(({ members }, place) => {
         const later = unsettled.slice(place + 1)
@@ -117,31 +117,34 @@
         )
       })
     },
-    listElecting: (commitIndex) => listUnsettled(commitIndex).map(({ members }) => members),
-    listLost: () => groups.flatMap(({ lostVoters }) => lostVoters),
-    findAt: (index) => (groups.findLast(({ at }) => at <= index) ?? groups[0]).members,
-    settle: async (commitIndex) => {
-      const settled = groups.findLast(({ at }) => at <= commitIndex)?.at ?? 0
-      if (settled <= (store.ballot().settledChange ?? 0)) return
-      await store.saveBallot({ ...store.ballot(), settledChange: settled })
+    listElectionGroups: (commitIndex) => listUnsettled(commitIndex).map(({ members }) => members),
+    listLostVoters: () => groups.flatMap(({ lostVoters }) => lostVoters),
+    findMembersAt: (index) =>
+      (groups.findLast(({ index: at }) => at <= index) ?? groups[0]).members,
+    recordCommitted: async (commitIndex) => {
+      const settled = groups.findLast(({ index }) => index <= commitIndex)?.index ?? 0
+      if (settled <= (store.voteState().settledChange ?? 0)) return
+      await store.saveVoteState({ ...store.voteState(), settledChange: settled })
     },
-    recordTakenIn: async () => {
-      if (members()[name]?.kind !== 'learner' || store.ballot().mayVote) return
-      await store.saveBallot({ ...store.ballot(), mayVote: true })
+    enableVoting: async () => {
+      if (members()[name]?.kind !== 'learner' || store.voteState().mayVote) return
+      await store.saveVoteState({ ...store.voteState(), mayVote: true })
     },
-    changedAt,
+    lastChangeIndex,
     buildFirstCommand: (lostVoters) => {
-      const isUnnamed = changedAt() === 0 && !store.snapshot()
+      const isUnnamed = lastChangeIndex() === 0 && !store.snapshot()
       if (!isUnnamed && lostVoters.length === 0) return { group: 'noop' }
       return { group: 'members', members: listWithout(members(), lostVoters), lostVoters }
     },
     observe,
     reload: () => {
       const saved = store.snapshot()?.state as SavedState | undefined
-      const founders = store.ballot().mayVote ? options.founders : {}
-      groups = [{ at: store.baseIndex(), members: saved?.members ?? founders, lostVoters: [] }]
+      const founders = store.voteState().mayVote ? options.founders : {}
+      groups = [
+        { index: store.snapshotIndex(), members: saved?.members ?? founders, lostVoters: [] },
+      ]
       provenChange = 0
-      for (const entry of store.list(store.baseIndex() + 1, Infinity)) observe(entry)
+      for (const entry of store.listEntries(store.snapshotIndex() + 1, Infinity)) observe(entry)
     },
   }
 }
--- a/packages/control/src/raft/replicator.ts
+++ b/packages/control/src/raft/replicator.ts
@@ -20,27 +20,27 @@
   readonly timers: TimerService
   readonly heartbeatMs: number
   /** Time without a majority after which leadership is given up, in ms. */
-  readonly lostAfterMs: number
+  readonly quorumTimeoutMs: number
   readonly listMembers: () => MemberMap
   /** Groups of which each must hold a majority before an entry is committed or a lease held. */
-  readonly listDeciding: () => readonly MemberMap[]
+  readonly listCommitGroups: () => readonly MemberMap[]
   readonly commitIndex: () => number
   readonly onCommit: (index: number) => void
   readonly onHigherTerm: (term: number) => void
   /** Called when no majority has answered for a while. */
-  readonly onLost: () => void
+  readonly onQuorumLost: () => void
 }
 
 /** Replication of one leadership. */
 export interface Replicator {
   /** Notes that the leader's own disk holds more. */
-  recordOwn(): void
+  recordLocalAppend(): void
   /** Sends new entries without waiting for the next heartbeat. */
-  wake(): void
+  sendNow(): void
   /** Latest instant at which a majority was known to follow, in ms of the monotonic clock. */
   confirmedAt(): number
   /** The same by the clock for promises; the lease rests on it. */
-  promisedAt(): number
+  leaseConfirmedAt(): number
   listFollowers(): FollowerProgress[]
   close(): void
 }
@@ -55,7 +55,7 @@
 const MAX_BYTES = 256 * 1024
 
 /** The first entries that one message may carry; one at least. */
-function listCarried(entries: readonly LogEntry[]): LogEntry[] {
+function listBatch(entries: readonly LogEntry[]): LogEntry[] {
   let bytes = 0
   const end = entries.findIndex((entry, index) => {
     bytes += JSON.stringify(entry.command).length
@@ -70,9 +70,9 @@
   /** When the last acknowledged message was sent. */
   confirmedAt: number
   /** The same by the clock for promises. */
-  promisedAt: number
+  leaseConfirmedAt: number
   /** Ends the wait for the next heartbeat. */
-  wake: AbortController
+  wakeController: AbortController
 }
 
 /** Creates the replication of a new leader. */
@@ -86,24 +86,26 @@
     if (isClosed) return
     const findMatch = (member: string) =>
       member === name ? store.durableIndex() : (peers.get(member)?.matchIndex ?? 0)
-    const reached = options.listDeciding().map((members) => findMajorityValue(members, findMatch))
+    const reached = options
+      .listCommitGroups()
+      .map((members) => findMajorityValue(members, findMatch))
     const index = Math.min(...reached)
     // Only an entry of its own term may be counted (Raft, figure 8).
     if (index > options.commitIndex() && store.findTerm(index) === term) options.onCommit(index)
   }
   // A lease rests on all groups that decide, as a commit does: while the group changes, whoever is
   // elected by half of the group before the change need not meet a majority of the one after it.
-  const findReached = (now: number, findConfirmed: (peer: Peer) => number) => {
+  const findQuorumInstant = (now: number, findConfirmed: (peer: Peer) => number) => {
     const findOne = (member: string) => {
       const peer = peers.get(member)
       if (member === name) return now
       return peer ? findConfirmed(peer) : -Infinity
     }
-    const reached = options.listDeciding()
+    const reached = options.listCommitGroups()
     return Math.min(...reached.map((members) => findMajorityValue(members, findOne)))
   }
-  const confirmedAt = () => findReached(timers.now(), (peer) => peer.confirmedAt)
-  const promisedAt = () => findReached(timers.promiseNow(), (peer) => peer.promisedAt)
+  const confirmedAt = () => findQuorumInstant(timers.now(), (peer) => peer.confirmedAt)
+  const promisedAt = () => findQuorumInstant(timers.promiseNow(), (peer) => peer.leaseConfirmedAt)
 
   const sendSnapshot = async (member: string, info: MemberInfo, peer: Peer) => {
     const snapshot = store.snapshot()
@@ -114,7 +116,7 @@
     const reply = await transport.send(member, info.url, 'install', request)
     if (reply.term > term) return options.onHigherTerm(reply.term)
     peer.confirmedAt = sentAt
-    peer.promisedAt = promisedFrom
+    peer.leaseConfirmedAt = promisedFrom
     peer.matchIndex = Math.max(peer.matchIndex, snapshot.index)
     peer.nextIndex = peer.matchIndex + 1
   }
@@ -128,12 +130,12 @@
       leaderUrl: options.url,
       previousIndex,
       previousTerm: store.findTerm(previousIndex) ?? 0,
-      entries: listCarried(store.list(peer.nextIndex, MAX_ENTRIES)),
+      entries: listBatch(store.listEntries(peer.nextIndex, MAX_ENTRIES)),
       commitIndex: options.commitIndex(),
     })
     if (reply.term > term) return options.onHigherTerm(reply.term)
     peer.confirmedAt = sentAt
-    peer.promisedAt = promisedFrom
+    peer.leaseConfirmedAt = promisedFrom
     if (!reply.isAccepted) {
       peer.nextIndex = Math.max(1, reply.index)
       return
@@ -144,14 +146,14 @@
   }
   const waitForWork = async (peer: Peer) => {
     if (peer.nextIndex <= store.lastIndex()) return
-    await waitFor(timers, options.heartbeatMs, peer.wake.signal)
-    if (peer.wake.signal.aborted && !isClosed) peer.wake = new AbortController()
+    await waitFor(timers, options.heartbeatMs, peer.wakeController.signal)
+    if (peer.wakeController.signal.aborted && !isClosed) peer.wakeController = new AbortController()
   }
   const isMember = (member: string) => member in options.listMembers()
   const runPeer = async (member: string, info: MemberInfo, peer: Peer) => {
     while (!isClosed && isMember(member)) {
       try {
-        if (peer.nextIndex <= store.baseIndex()) await sendSnapshot(member, info, peer)
+        if (peer.nextIndex <= store.snapshotIndex()) await sendSnapshot(member, info, peer)
         else await sendEntries(member, info, peer)
       } catch {
         await waitFor(timers, options.heartbeatMs)
@@ -168,8 +170,8 @@
         nextIndex: store.lastIndex() + 1,
         matchIndex: 0,
         confirmedAt: -Infinity,
-        promisedAt: -Infinity,
-        wake: new AbortController(),
+        leaseConfirmedAt: -Infinity,
+        wakeController: new AbortController(),
       }
       peers.set(member, peer)
       void runPeer(member, info, peer)
@@ -178,18 +180,18 @@
   const watch: Subscription = timers.every(options.heartbeatMs).subscribe(() => {
     startPeers()
     const lastReceivedAt = Math.max(confirmedAt(), startedAt)
-    if (timers.now() - lastReceivedAt > options.lostAfterMs) options.onLost()
+    if (timers.now() - lastReceivedAt > options.quorumTimeoutMs) options.onQuorumLost()
   })
   startPeers()
 
   return {
-    recordOwn: recordProgress,
-    wake: () => {
+    recordLocalAppend: recordProgress,
+    sendNow: () => {
       startPeers()
-      for (const peer of peers.values()) peer.wake.abort()
+      for (const peer of peers.values()) peer.wakeController.abort()
     },
     confirmedAt,
-    promisedAt,
+    leaseConfirmedAt: promisedAt,
     listFollowers: () =>
       [...peers].map(([member, peer]) => ({
         name: member,
@@ -199,7 +201,7 @@
     close: () => {
       isClosed = true
       watch.unsubscribe()
-      for (const peer of peers.values()) peer.wake.abort()
+      for (const peer of peers.values()) peer.wakeController.abort()
     },
   }
 }
--- a/packages/control/src/raft/types.ts
+++ b/packages/control/src/raft/types.ts
@@ -14,7 +14,7 @@
 } from './messages.js'
 
 /** The machine that the log drives. */
-export interface ReplicatedMachine {
+export interface StateMachine {
   /** Applies a committed command and returns its result; must depend on nothing else. */
   apply(command: unknown, index: number): unknown
   save(): unknown
@@ -30,7 +30,7 @@
   /** Whether an empty data folder founds the group, instead of waiting to be taken in. */
   readonly isFounding: boolean
   readonly store: LogStore
-  readonly machine: ReplicatedMachine
+  readonly machine: StateMachine
   readonly transport: RaftTransport
   readonly timers: TimerService
   readonly random: RandomSource
--- a/packages/control/src/raft/votes.ts
+++ b/packages/control/src/raft/votes.ts
@@ -1,21 +1,21 @@
 /** Asking the members for their votes. */
 import { toSpoolgateError } from '@spoolgate/core'
 import type { LeaseHolder } from '../log/logStore.js'
-import { countGrants, countMajority, listOthers, listVoters } from './group.js'
+import { countElectionQuorum, countMajority, listOthers, listVoters } from './group.js'
 import type { EndedTerms, MemberMap, RaftTransport, VoteReply, VoteRequest } from './messages.js'
 
-/** Options of {@link askMembersForVotes}. */
-export interface VoteOptions {
+/** Options of {@link runVoteRound}. */
+export interface VoteRoundOptions {
   /** Groups that must each elect, the newest last: those whose changes may not be committed. */
   readonly groups: readonly MemberMap[]
   /** Voters whose disks were proven lost before this round. */
-  readonly lostBefore: readonly string[]
+  readonly knownLostVoters: readonly string[]
   readonly transport: RaftTransport
   readonly request: VoteRequest
   /** What the candidate itself answers to the request. */
-  readonly own: VoteReply
+  readonly ownReply: VoteReply
   /** Called with the term of each reply, before the vote is counted. */
-  readonly onHigherTerm: (term: number) => Promise<void>
+  readonly onReplyTerm: (term: number) => Promise<void>
   /** Called with each reply that comes under another name than that of the member at the address. */
   readonly onLostVoter: (voter: string, url: string, found: string) => void
 }
@@ -32,10 +32,10 @@
 }
 
 /** Ended term of a member whose disk is lost: its process is gone, and nobody has its name any more. */
-const EVERY_TERM = Number.MAX_SAFE_INTEGER
+const ALL_TERMS = Number.MAX_SAFE_INTEGER
 
 /** Characters of a failure that are reported: enough for its cause. */
-const FAILURE_LENGTH = 80
+const MAX_FAILURE_CHARS = 80
 
 /** Whether a leader said that it does not lead the term any more, so that its lease is over. */
 export function isLeaseEnded(holder: LeaseHolder, endedTerms: EndedTerms): boolean {
@@ -50,11 +50,18 @@
  * Four voters bear the loss of two, though two are no majority: an instance that answers under another
  * name than the voter at its address has lost the disk of that voter, which can neither vote nor
  * acknowledge anything ever again. Where a disk is proven lost, half of an even group may elect (see
- * {@link countGrants}). The proofs come before the votes that rest on them: a loss that shows in a real
+ * {@link countElectionQuorum}). The proofs come before the votes that rest on them: a loss that shows in a real
  * vote counts in the next round only, so that two such elections of one term always share a voter.
  */
-export function askMembersForVotes(options: VoteOptions): Promise<VoteOutcome> {
-  const { groups, transport, request, own, onHigherTerm, onLostVoter } = options
+export function runVoteRound(options: VoteRoundOptions): Promise<VoteOutcome> {
+  const {
+    groups,
+    transport,
+    request,
+    ownReply: own,
+    onReplyTerm: onHigherTerm,
+    onLostVoter,
+  } = options
   const members: MemberMap = Object.assign({}, ...groups)
   const replies = new Map([[request.candidate, own]])
   const failures = new Map<string, string>()
@@ -67,7 +74,7 @@
     (request.isPreVote && heldBackBy !== undefined && isLeaseEnded(heldBackBy, endedTerms))
   const describeAnswer = (name: string) => {
     const reply = replies.get(name)
-    if (options.lostBefore.includes(name)) return 'lost'
+    if (options.knownLostVoters.includes(name)) return 'lost'
     if (!reply) return `silent: ${failures.get(name) ?? 'no answer yet'}`
     if (reply.voter !== name) return 'lost'
     if (isGranting(reply)) return 'granted'
@@ -87,7 +94,7 @@
     voter !== name && (members[voter] === undefined || members[voter].url === members[name].url)
   const listLost = () => {
     const found = [...replies].filter(([name, reply]) => isProof(name, reply)).map(([name]) => name)
-    return new Set([...options.lostBefore, ...(request.isPreVote ? found : [])])
+    return new Set([...options.knownLostVoters, ...(request.isPreVote ? found : [])])
   }
   const findOutcome = (): VoteOutcome | undefined => {
     const ofMembers = [...replies].filter(([name, { voter }]) => voter === name)
@@ -98,7 +105,8 @@
     const lost = listLost()
     const countGranting = (group: MemberMap) =>
       listVoters(group).filter((name) => granting.has(name) && !lost.has(name)).length
-    if (!groups.every((group) => countGranting(group) >= countGrants(group, lost))) return undefined
+    if (!groups.every((group) => countGranting(group) >= countElectionQuorum(group, lost)))
+      return undefined
     const isByMajority = groups.every((group) => countGranting(group) >= countMajority(group))
     const votersOfAny = new Set(groups.flatMap(listVoters))
     return buildWon(isByMajority ? [] : [...votersOfAny].filter((name) => lost.has(name)))
@@ -107,7 +115,7 @@
     try {
       return await transport.send(other, url, 'vote', request)
     } catch (cause) {
-      failures.set(other, toSpoolgateError(cause).message.slice(0, FAILURE_LENGTH))
+      failures.set(other, toSpoolgateError(cause).message.slice(0, MAX_FAILURE_CHARS))
       return undefined
     }
   }
@@ -124,7 +132,7 @@
       replies.set(other, reply)
       endedTerms[reply.voter] = reply.endedTerm
       if (isProof(other, reply)) {
-        endedTerms[other] = EVERY_TERM
+        endedTerms[other] = ALL_TERMS
         onLostVoter(other, url, reply.voter)
       }
       settle()
--- a/packages/control/src/state/controlMachine.ts
+++ b/packages/control/src/state/controlMachine.ts
@@ -3,7 +3,7 @@
  * servers, driven by typed commands.
  */
 import { Subject, type Observable } from 'rxjs'
-import type { ReplicatedMachine } from '../raft/types.js'
+import type { StateMachine } from '../raft/types.js'
 import {
   createClaimState,
   type ClaimState,
@@ -95,7 +95,7 @@
 export type ControlResult<Kind extends ControlCommandKind> = ControlCommands[Kind]['result']
 
 /** The machine with its parts. */
-export interface ControlMachine extends ReplicatedMachine {
+export interface ControlMachine extends StateMachine {
   readonly config: ConfigState
   readonly claims: ClaimState
   readonly orders: OrderState
