--- a/packages/control/src/__tests__/group.ts
+++ b/packages/control/src/__tests__/group.ts
@@ -75,7 +75,7 @@
 const STEP_MS = 5
 const MAX_STEPS = 4_000
 
-const settle = () => new Promise((resolve) => setImmediate(resolve))
+const flushCallbacks = () => new Promise((resolve) => setImmediate(resolve))
 
 /** Creates a group and starts its founders. */
 export async function createTestGroup(
@@ -84,22 +84,22 @@
   snapshotEvery = 1_000,
 ): Promise<TestGroup> {
   const members = new Map<string, TestMember>()
-  const cut = new Set<string>()
-  const frozen = new Set<string>()
+  const cutLinks = new Set<string>()
+  const frozenMembers = new Set<string>()
   const founders: MemberMap = Object.fromEntries(
     names.map((name) => [name, { url: name, kind: 'voter' }]),
   )
-  const power = createRandomSource(seed)
-  const lines: string[] = []
-  const write = (line: string) => void lines.push(line)
-  const findAt = (url: string) =>
-    [...members.values()].find((other) => other.url === url && !frozen.has(other.name))
+  const powerLossRandom = createRandomSource(seed)
+  const logLines: string[] = []
+  const write = (line: string) => void logLines.push(line)
+  const findRunningAt = (url: string) =>
+    [...members.values()].find((other) => other.url === url && !frozenMembers.has(other.name))
 
   const createTransport = (from: string, fromUrl: string): RaftTransport => ({
     send: async (to, url, name, request) => {
       const fail = () => new ConnectionError('link is cut', true, false)
-      const target = findAt(url)
-      if (cut.has(`${fromUrl}>${url}`) || !target || frozen.has(from)) throw fail()
+      const target = findRunningAt(url)
+      if (cutLinks.has(`${fromUrl}>${url}`) || !target || frozenMembers.has(from)) throw fail()
       // As the route of these messages does: only votes are answered under another name.
       if (name !== 'vote' && target.name !== to) throw fail()
       // Messages travel as text, so that nobody shares what another still changes.
@@ -113,7 +113,12 @@
       }
       const handle = handlers[name] as (message: unknown) => Promise<never>
       const reply = await handle(JSON.parse(text))
-      if (cut.has(`${url}>${fromUrl}`) || frozen.has(from) || findAt(url) !== target) throw fail()
+      if (
+        cutLinks.has(`${url}>${fromUrl}`) ||
+        frozenMembers.has(from) ||
+        findRunningAt(url) !== target
+      )
+        throw fail()
       return reply
     },
   })
@@ -148,26 +153,26 @@
   }
   const step = async () => {
     for (const { name, timers } of members.values()) {
-      if (!frozen.has(name)) timers.advance(STEP_MS)
+      if (!frozenMembers.has(name)) timers.advance(STEP_MS)
     }
-    await settle()
-    await settle()
+    await flushCallbacks()
+    await flushCallbacks()
   }
   const group: TestGroup = {
     members,
-    logLines: lines,
-    cutLinks: cut,
-    frozenMembers: frozen,
+    logLines,
+    cutLinks,
+    frozenMembers,
     maxMessageBytes: Infinity,
     start,
     isolate: (name) => {
       const { url } = members.get(name) as TestMember
       for (const other of members.values()) {
-        cut.add(`${url}>${other.url}`)
-        cut.add(`${other.url}>${url}`)
+        cutLinks.add(`${url}>${other.url}`)
+        cutLinks.add(`${other.url}>${url}`)
       }
     },
-    heal: () => cut.clear(),
+    heal: () => cutLinks.clear(),
     run: async (duration) => {
       for (let spent = 0; spent < duration; spent += STEP_MS) await step()
     },
@@ -181,7 +186,7 @@
     leader: () =>
       [...members.values()].find(({ name, member }) => {
         const { role, hasLease } = member.status()
-        return role === 'leader' && hasLease && !frozen.has(name)
+        return role === 'leader' && hasLease && !frozenMembers.has(name)
       }),
     waitForLeader: async (other) => {
       const findNext = () => {
@@ -212,7 +217,9 @@
     },
     losePower: async (names) => {
       const stopped = names.map((name) => members.get(name) as TestMember)
-      const disks = new Map(stopped.map(({ name, folder }) => [name, folder.restart(power)]))
+      const disks = new Map(
+        stopped.map(({ name, folder }) => [name, folder.restart(powerLossRandom)]),
+      )
       for (const name of names) members.delete(name)
       for (const { member } of stopped) await member.close()
       return disks
--- a/packages/control/src/__tests__/groupModel.spec.ts
+++ b/packages/control/src/__tests__/groupModel.spec.ts
@@ -5,11 +5,11 @@
  * Seeds that have found a fault: 643, a voter that was taken in by a snapshot voted for nobody, so that
  * two lost disks of five left no majority.
  */
-const FAILED_SEEDS = [643]
+const REGRESSION_SEEDS = [643]
 /** Seeds that are always run. */
-const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8, ...FAILED_SEEDS]
+const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8, ...REGRESSION_SEEDS]
 /** Further seeds by hand, as `from-to`: GROUP_MODEL_SEEDS=100-400 npx mocha ... */
-const FURTHER = process.env.GROUP_MODEL_SEEDS
+const SEED_RANGE = process.env.GROUP_MODEL_SEEDS
 
 /** Lists the seeds of a range. */
 function listSeeds(range: string): number[] {
@@ -18,11 +18,11 @@
 }
 
 describe('a control group through random troubles', () => {
-  for (const seed of FURTHER ? listSeeds(FURTHER) : SEEDS) {
+  for (const seed of SEED_RANGE ? listSeeds(SEED_RANGE) : SEEDS) {
     it(`keeps what it acknowledged, under one leader at a time, and serves again (seed ${seed})`, async () => {
       const { actions, ...report } = await runModel(seed)
       expect(actions).not.to.be.empty
-      if (FURTHER) console.log(JSON.stringify({ seed, ...report }))
+      if (SEED_RANGE) console.log(JSON.stringify({ seed, ...report }))
     })
   }
 })
--- a/packages/control/src/__tests__/groupModel.ts
+++ b/packages/control/src/__tests__/groupModel.ts
@@ -26,38 +26,38 @@
 const STEP_MS = 5
 const ACTIONS = 50
 /** Virtual time between two looks at the group, in ms. */
-const LOOK_MS = 40
+const PLAN_INTERVAL_MS = 40
 /** Virtual time in which a leader must come once all are back, in ms. */
 const RECOVERY_MS = ELECTION_MS * 100
 /** Last lines of the members' logs that a failure shows. */
-const LINES_SHOWN = 12
+const MAX_LOG_LINES_SHOWN = 12
 /** Spans of virtual time between two actions, in ms: mostly short, some as long as a repair. */
-const SPANS_MS = [5, 20, 60, 120, 300, 800, 2_500, 6_500]
+const ACTION_GAPS_MS = [5, 20, 60, 120, 300, 800, 2_500, 6_500]
 
 /** An address with what happened to it. */
-interface Place {
+interface Host {
   readonly url: string
   /** Instance that runs here or did last. */
   name: string
   /** Disk of an instance that is down; undefined while it runs. */
-  disk: MemoryFolder | undefined
+  stoppedDisk: MemoryFolder | undefined
   /** Group that the instance knew when it last went down. */
-  knownGroup: MemberMap
+  lastKnownMembers: MemberMap
   /** Names of disks lost here, and of a machine taken away, until their successor is a voter. */
-  lost: string[]
+  lostNames: string[]
 }
 
 /** Part of the freezes in which the machine itself is suspended. */
-const SUSPENDED_PART = 0.5
-const SLEEPS_SEED_OFFSET = 1_000_003
+const SUSPEND_PROBABILITY = 0.5
+const SUSPEND_SEED_OFFSET = 1_000_003
 
-class Life {
+class GroupSimulation {
   readonly actions: string[] = []
-  readonly leaderOf = new Map<number, string>()
+  readonly leaderByTerm = new Map<number, string>()
   readonly frozenAt = new Map<string, number>()
   /** Drawn apart, so that the other draws of a seed stay as they were. */
-  readonly sleeps: RandomSource
-  places: Place[]
+  readonly suspendRandom: RandomSource
+  hosts: Host[]
   now = 0
   acknowledged = 0
   version = 0
@@ -70,40 +70,40 @@
     readonly group: TestGroup,
     readonly steps: GroupSteps,
     /** Disks that may be lost at once. */
-    readonly borne: number,
+    readonly maxLostDisks: number,
     /** Of these, machines that may be gone for good. */
-    readonly borneAway: number,
+    readonly maxLostMachines: number,
   ) {
-    this.sleeps = createRandomSource(seed + SLEEPS_SEED_OFFSET)
-    this.places = [...group.members.keys()].map((name) => ({
+    this.suspendRandom = createRandomSource(seed + SUSPEND_SEED_OFFSET)
+    this.hosts = [...group.members.keys()].map((name) => ({
       url: name,
       name,
-      disk: undefined,
-      knownGroup: {},
-      lost: [],
+      stoppedDisk: undefined,
+      lastKnownMembers: {},
+      lostNames: [],
     }))
   }
 
   check(condition: boolean, what: string): void {
     if (condition) return
-    const lines = [...this.actions, ...this.group.logLines.slice(-LINES_SHOWN)]
+    const lines = [...this.actions, ...this.group.logLines.slice(-MAX_LOG_LINES_SHOWN)]
     throw new Error(`seed ${this.seed} at ${this.now} ms: ${what}\n${lines.join('\n')}`)
   }
 
   checkInvariants(): void {
-    const acting = [...this.group.members.values()].filter(
+    const running = [...this.group.members.values()].filter(
       ({ name }) => !this.group.frozenMembers.has(name),
     )
-    const holders = acting.filter(({ member }) => member.status().hasLease)
-    this.check(holders.length <= 1, `leases of ${holders.map(({ name }) => name).join()}`)
-    for (const { name, member } of acting) {
+    const leaseHolders = running.filter(({ member }) => member.status().hasLease)
+    this.check(leaseHolders.length <= 1, `leases of ${leaseHolders.map(({ name }) => name).join()}`)
+    for (const { name, member } of running) {
       const { role, term } = member.status()
       if (role !== 'leader') continue
-      const known = this.leaderOf.get(term) ?? name
-      this.leaderOf.set(term, known)
+      const known = this.leaderByTerm.get(term) ?? name
+      this.leaderByTerm.set(term, known)
       this.check(known === name, `${known} and ${name} lead term ${term}`)
     }
-    for (const { name, member, machine } of holders) {
+    for (const { name, member, machine } of leaseHolders) {
       if (!isCurrent(member)) continue
       const found = machine.table.current()?.version ?? 0
       const what = `${name} serves ${found}, and ${this.acknowledged} was acknowledged`
@@ -115,7 +115,7 @@
     for (let spent = 0; spent < duration; spent += STEP_MS) {
       await this.group.run(STEP_MS)
       this.now += STEP_MS
-      if (this.now % LOOK_MS === 0) this.steps.apply()
+      if (this.now % PLAN_INTERVAL_MS === 0) this.steps.apply()
       this.checkInvariants()
     }
     this.recordRepairs()
@@ -132,42 +132,44 @@
     // A change counts from its entry on, and is no repair before that is committed.
     if (commitIndex < lastIndex) return
     const isVoter = (name: string) => members[name]?.kind === 'voter'
-    for (const place of this.places) {
-      const known = this.group.members.get(place.name)?.member.status().commitIndex ?? 0
-      const isBack = isVoter(place.name) && known >= commitIndex
-      if (isBack && !place.lost.some(isVoter)) place.lost = []
+    for (const host of this.hosts) {
+      const known = this.group.members.get(host.name)?.member.status().commitIndex ?? 0
+      const isBack = isVoter(host.name) && known >= commitIndex
+      if (isBack && !host.lostNames.some(isVoter)) host.lostNames = []
     }
   }
 
   /** Lists whom any instance counts as a voter, or did when it went down. */
   listVoters(): Set<string> {
     const running = [...this.group.members.values()].map(({ member }) => member.status().members)
-    const stopped = this.places.flatMap(({ disk, knownGroup }) => (disk ? [knownGroup] : []))
+    const stopped = this.hosts.flatMap(({ stoppedDisk, lastKnownMembers }) =>
+      stoppedDisk ? [lastKnownMembers] : [],
+    )
     const entries = [...running, ...stopped].flatMap((members) => Object.entries(members))
     return new Set(entries.filter(([, { kind }]) => kind === 'voter').map(([name]) => name))
   }
 
   countLost(): number {
     const voters = this.listVoters()
-    const counts = this.places.map(({ lost }) =>
-      lost.length === 0 ? 0 : Math.max(1, lost.filter((name) => voters.has(name)).length),
+    const counts = this.hosts.map(({ lostNames }) =>
+      lostNames.length === 0 ? 0 : Math.max(1, lostNames.filter((name) => voters.has(name)).length),
     )
     return counts.reduce((sum, count) => sum + count, 0)
   }
 
-  isLossBorne(place: Place): boolean {
-    const added = place.lost.length === 0 || this.listVoters().has(place.name) ? 1 : 0
-    return this.countLost() + added <= this.borne
+  isLossTolerated(host: Host): boolean {
+    const added = host.lostNames.length === 0 || this.listVoters().has(host.name) ? 1 : 0
+    return this.countLost() + added <= this.maxLostDisks
   }
 
-  recordGroup(place: Place): void {
-    place.knownGroup = this.group.members.get(place.name)?.member.status().members ?? {}
+  recordGroup(host: Host): void {
+    host.lastKnownMembers = this.group.members.get(host.name)?.member.status().members ?? {}
   }
 
-  recordLoss(place: Place): void {
+  recordLoss(host: Host): void {
     this.lostDisks += 1
-    place.lost = [...place.lost, place.name]
-    place.name = `${place.url}#${this.lostDisks}`
+    host.lostNames = [...host.lostNames, host.name]
+    host.name = `${host.url}#${this.lostDisks}`
   }
 
   submitTable(): void {
@@ -182,24 +184,24 @@
     )
   }
 
-  chooseRunning(): Place | undefined {
-    const running = this.places.filter(({ disk }) => disk === undefined)
+  chooseRunningHost(): Host | undefined {
+    const running = this.hosts.filter(({ stoppedDisk }) => stoppedDisk === undefined)
     return running.length > 0 ? this.random.choose(running) : undefined
   }
 
-  async stop(place: Place): Promise<void> {
-    this.group.frozenMembers.delete(place.name)
-    this.frozenAt.delete(place.name)
-    this.recordGroup(place)
-    const disks = await this.group.losePower([place.name])
-    place.disk = disks.get(place.name)
+  async stop(host: Host): Promise<void> {
+    this.group.frozenMembers.delete(host.name)
+    this.frozenAt.delete(host.name)
+    this.recordGroup(host)
+    const disks = await this.group.losePower([host.name])
+    host.stoppedDisk = disks.get(host.name)
   }
 
   /** Starts an instance on the disk that it left, or on an empty one. */
-  async start(place: Place, isEmpty = false): Promise<void> {
-    const folder = isEmpty ? undefined : place.disk
-    place.disk = undefined
-    await this.group.start(place.name, { url: place.url, folder, isFounding: false, startedAt: 0 })
+  async start(host: Host, isEmpty = false): Promise<void> {
+    const folder = isEmpty ? undefined : host.stoppedDisk
+    host.stoppedDisk = undefined
+    await this.group.start(host.name, { url: host.url, folder, isFounding: false, startedAt: 0 })
   }
 
   resumeProcess(name: string): void {
@@ -209,39 +211,49 @@
     this.group.frozenMembers.delete(name)
     const found = this.group.members.get(name) as TestMember
     // A frozen process sees its monotonic clock jump when it wakes; one whose machine was suspended does not.
-    if (this.sleeps.next() < SUSPENDED_PART) found.timers.suspend(this.now - since)
+    if (this.suspendRandom.next() < SUSPEND_PROBABILITY) found.timers.suspend(this.now - since)
     else found.timers.advance(this.now - since)
   }
 
-  async removeDisk(place: Place): Promise<void> {
-    if (!this.isLossBorne(place)) return
-    this.actions.push(`${this.now} loseDisk ${place.name}`)
-    await this.stop(place)
-    this.recordLoss(place)
-    if (this.random.next() < 0.5) await this.run(this.random.choose(SPANS_MS.slice(0, 6)))
-    await this.start(place, true)
+  async removeDisk(host: Host): Promise<void> {
+    if (!this.isLossTolerated(host)) return
+    this.actions.push(`${this.now} loseDisk ${host.name}`)
+    await this.stop(host)
+    this.recordLoss(host)
+    if (this.random.next() < 0.5) await this.run(this.random.choose(ACTION_GAPS_MS.slice(0, 6)))
+    await this.start(host, true)
   }
 
   /** Takes a machine away for good, whose voters that will not return must leave a majority. */
-  async removeMachine(place: Place): Promise<void> {
-    const gone = this.places.filter(({ name, lost, disk }) => {
-      return lost.length > 0 || disk || this.frozenAt.has(name)
+  async removeMachine(host: Host): Promise<void> {
+    const gone = this.hosts.filter(({ name, lostNames, stoppedDisk }) => {
+      return lostNames.length > 0 || stoppedDisk || this.frozenAt.has(name)
     })
-    if (place.lost.length > 0 || gone.length >= this.borneAway || this.group.cutLinks.size > 0)
+    if (
+      host.lostNames.length > 0 ||
+      gone.length >= this.maxLostMachines ||
+      this.group.cutLinks.size > 0
+    )
       return
-    this.actions.push(`${this.now} replace ${place.name}`)
-    await this.stop(place)
+    this.actions.push(`${this.now} replace ${host.name}`)
+    await this.stop(host)
     this.replaced += 1
-    const url = `${place.url}+${this.replaced}`
-    const next = { url, name: url, disk: undefined, knownGroup: {}, lost: [place.name] }
-    this.places = [...this.places.filter((other) => other !== place), next]
+    const url = `${host.url}+${this.replaced}`
+    const next = {
+      url,
+      name: url,
+      stoppedDisk: undefined,
+      lastKnownMembers: {},
+      lostNames: [host.name],
+    }
+    this.hosts = [...this.hosts.filter((other) => other !== host), next]
     await this.start(next, true)
   }
 
   async runAction(): Promise<void> {
-    const place = this.chooseRunning()
+    const host = this.chooseRunningHost()
     const draw = this.random.next()
-    const down = this.places.filter(({ disk }) => disk !== undefined)
+    const down = this.hosts.filter(({ stoppedDisk }) => stoppedDisk !== undefined)
     if (draw < 0.3) return this.submitTable()
     if (draw < 0.4) {
       this.actions.push(`${this.now} heal`)
@@ -251,18 +263,18 @@
       const back = this.random.choose(down)
       this.actions.push(`${this.now} start ${back.name}`)
       await this.start(back)
-    } else if (place) {
-      await this.applyTrouble(place, this.random.nextInt(16))
+    } else if (host) {
+      await this.injectFault(host, this.random.nextInt(16))
     }
   }
 
-  async applyTrouble(place: Place, kind: number): Promise<void> {
-    const { name, url } = place
+  async injectFault(host: Host, kind: number): Promise<void> {
+    const { name, url } = host
     if (kind < 3) {
       this.actions.push(`${this.now} isolate ${name}`)
       this.group.isolate(name)
     } else if (kind < 5) {
-      const other = this.random.choose(this.places)
+      const other = this.random.choose(this.hosts)
       this.actions.push(`${this.now} cut ${url}>${other.url}`)
       this.group.cutLinks.add(`${url}>${other.url}`)
     } else if (kind < 7 && !this.frozenAt.has(name)) {
@@ -271,37 +283,37 @@
       this.group.frozenMembers.add(name)
     } else if (kind < 9) {
       this.actions.push(`${this.now} stop ${name}`)
-      await this.stop(place)
+      await this.stop(host)
     } else if (kind < 10) {
-      await this.stopAll()
+      await this.losePowerEverywhere()
     } else if (kind < 14) {
-      await this.removeDisk(place)
+      await this.removeDisk(host)
     } else {
-      await this.removeMachine(place)
+      await this.removeMachine(host)
     }
   }
 
   /** Every machine loses power at one moment, some their disks; they come back in any order. */
-  async stopAll(): Promise<void> {
-    const running = this.places.filter(({ disk }) => disk === undefined)
+  async losePowerEverywhere(): Promise<void> {
+    const running = this.hosts.filter(({ stoppedDisk }) => stoppedDisk === undefined)
     this.actions.push(`${this.now} losePower`)
-    for (const name of running.map((place) => place.name)) {
+    for (const name of running.map((host) => host.name)) {
       this.group.frozenMembers.delete(name)
       this.frozenAt.delete(name)
     }
-    running.forEach((place) => this.recordGroup(place))
+    running.forEach((host) => this.recordGroup(host))
     const disks = await this.group.losePower(running.map(({ name }) => name))
-    for (const place of running) place.disk = disks.get(place.name)
+    for (const host of running) host.stoppedDisk = disks.get(host.name)
     const waiting = [...running]
     while (waiting.length > 0) {
-      const [place] = waiting.splice(this.random.nextInt(waiting.length), 1)
-      const isLosing = this.random.next() < 0.4 && this.isLossBorne(place)
+      const [host] = waiting.splice(this.random.nextInt(waiting.length), 1)
+      const isLosing = this.random.next() < 0.4 && this.isLossTolerated(host)
       if (isLosing) {
-        this.recordLoss(place)
-        this.actions.push(`${this.now} ${place.name} is empty`)
+        this.recordLoss(host)
+        this.actions.push(`${this.now} ${host.name} is empty`)
       }
-      await this.start(place, isLosing)
-      if (this.random.next() < 0.5) await this.run(this.random.choose(SPANS_MS.slice(0, 4)))
+      await this.start(host, isLosing)
+      if (this.random.next() < 0.5) await this.run(this.random.choose(ACTION_GAPS_MS.slice(0, 4)))
     }
   }
 
@@ -309,8 +321,8 @@
     this.actions.push(`${this.now} all are back`)
     this.group.heal()
     for (const name of [...this.frozenAt.keys()]) this.resumeProcess(name)
-    for (const place of this.places.filter(({ disk }) => disk !== undefined)) {
-      await this.start(place)
+    for (const host of this.hosts.filter(({ stoppedDisk }) => stoppedDisk !== undefined)) {
+      await this.start(host)
     }
     const end = this.now + RECOVERY_MS
     const isServing = () => {
@@ -349,26 +361,26 @@
   const names = Array.from({ length: founders }, (_, index) => `m${index}`)
   const group = await createTestGroup(names, seed, 8 + random.nextInt(40))
   const steps = createGroupSteps({ group, wantedVoters })
-  const borne = Math.min(losses, Math.floor(voters / 2))
-  const borneAway = Math.min(losses, Math.floor((voters - 1) / 2))
-  const life = new Life(seed, random, group, steps, borne, borneAway)
+  const maxLostDisks = Math.min(losses, Math.floor(voters / 2))
+  const maxLostMachines = Math.min(losses, Math.floor((voters - 1) / 2))
+  const simulation = new GroupSimulation(seed, random, group, steps, maxLostDisks, maxLostMachines)
   try {
-    await life.run(ELECTION_MS * 5)
+    await simulation.run(ELECTION_MS * 5)
     for (let action = 0; action < ACTIONS; action += 1) {
-      await life.runAction()
-      await life.run(random.choose(SPANS_MS))
+      await simulation.runAction()
+      await simulation.run(random.choose(ACTION_GAPS_MS))
     }
-    await life.resumeAll()
+    await simulation.resumeAll()
     const byProof = group.logLines.filter((line) => /raft\.elected .*lostVoters="/.test(line))
     return {
       founders,
       wantedVoters,
-      acknowledged: life.acknowledged,
-      terms: life.leaderOf.size,
-      lostDisks: life.lostDisks,
-      replaced: life.replaced,
+      acknowledged: simulation.acknowledged,
+      terms: simulation.leaderByTerm.size,
+      lostDisks: simulation.lostDisks,
+      replaced: simulation.replaced,
       byProof: byProof.length,
-      actions: life.actions,
+      actions: simulation.actions,
     }
   } finally {
     await group.close()
--- a/packages/control/src/__tests__/logStore.spec.ts
+++ b/packages/control/src/__tests__/logStore.spec.ts
@@ -86,7 +86,7 @@
       expect(again.lastIndex(), `seed ${seed}`).to.be.at.least(acknowledged.index)
       expect(again.voteState().term, `seed ${seed}`).to.be.at.least(acknowledged.term)
       expect(again.durableIndex()).to.equal(again.lastIndex())
-      checkContent(again, again.snapshotIndex(), again.lastIndex())
+      checkContent(again, again.baseIndex(), again.lastIndex())
       // It must go on working, and survive a second loss right after the repair.
       await again.append([
         { index: again.lastIndex() + 1, term: 9, command: `entry ${again.lastIndex() + 1}` },
--- a/packages/control/src/__tests__/lostDisks.spec.ts
+++ b/packages/control/src/__tests__/lostDisks.spec.ts
@@ -45,14 +45,15 @@
 }
 
 /** Orders in which the instances come back after the loss of power. */
-const ORDERS: Record<string, (lost: readonly string[], kept: readonly string[]) => string[]> = {
-  'the empty ones first': (lost, kept) => [...lost, ...kept],
-  'the empty ones last': (lost, kept) => [...kept, ...lost],
-  'one of each in turn': (lost, kept) => lost.flatMap((name, index) => [name, kept[index]]),
-}
+const START_ORDERS: Record<string, (lost: readonly string[], kept: readonly string[]) => string[]> =
+  {
+    'the empty ones first': (lost, kept) => [...lost, ...kept],
+    'the empty ones last': (lost, kept) => [...kept, ...lost],
+    'one of each in turn': (lost, kept) => lost.flatMap((name, index) => [name, kept[index]]),
+  }
 
 describe('four voters that all lose power, two of them with their disks', () => {
-  for (const [order, listReturns] of Object.entries(ORDERS)) {
+  for (const [order, listStartOrder] of Object.entries(START_ORDERS)) {
     it(`serve again with all that was acknowledged, ${order}`, async () => {
       for (const seed of SEEDS) {
         for (const lost of listPairs(NAMES)) {
@@ -62,7 +63,7 @@
           await group.propose(await group.waitForLeader(), buildTable(7))
           const disks = await group.losePower(NAMES)
           const kept = NAMES.filter((name) => !lost.includes(name))
-          for (const name of listReturns(lost, kept)) {
+          for (const name of listStartOrder(lost, kept)) {
             const isLost = lost.includes(name)
             await group.start(isLost ? `${name}#new` : name, {
               url: name,
@@ -88,7 +89,7 @@
 })
 
 /** One address with whatever instance runs there. */
-interface Place {
+interface Host {
   readonly server: HttpServer
   folder: MemoryFolder
   /** Undefined without power. */
@@ -101,11 +102,11 @@
 describe('the same over the routes of the members', () => {
   const timers = createTimerService()
   const logger = createQuietLogger()
-  let places: Place[] = []
+  let hosts: Host[] = []
   let founders: MemberMap = {}
   const client = createHttpClient()
 
-  const openPlace = async (): Promise<Place> => {
+  const openHost = async (): Promise<Host> => {
     const server = await createHttpServer({
       host: '127.0.0.1',
       port: 0,
@@ -113,9 +114,9 @@
       timers,
       routes: [],
     })
-    const place: Place = { server, folder: createMemoryFolder(), member: undefined }
+    const host: Host = { server, folder: createMemoryFolder(), member: undefined }
     const findMember = () => {
-      if (place.member) return place.member
+      if (host.member) return host.member
       throw new SpoolgateError('controlUnavailable', 'there is no power')
     }
     const current = {
@@ -126,20 +127,20 @@
     } as Pick<RaftMember, 'status' | 'handleVote' | 'handleAppend' | 'handleInstall'>
     const route = createRaftRoute({ member: current as RaftMember, isCut: () => false })
     server.addRoutes([route])
-    return place
+    return host
   }
-  const startAt = async (place: Place, name: string, isFounding: boolean) => {
-    const { folder } = place
-    place.member = createRaftMember({
+  const startMember = async (host: Host, name: string, isFounding: boolean) => {
+    const { folder } = host
+    host.member = createRaftMember({
       name,
-      url: place.server.url,
+      url: host.server.url,
       founders,
       isFounding,
       store: await openLogStore({ folder, logger, onFailure: () => {} }),
       machine: createControlMachine(),
       transport: createHttpTransport({ client, timeoutMs: ROUTE_ELECTION_MS }),
       timers,
-      random: createRandomSource(places.indexOf(place) + 1),
+      random: createRandomSource(hosts.indexOf(host) + 1),
       logger,
       invariants: createInvariants({ logger, fatal: true }),
       electionMs: ROUTE_ELECTION_MS,
@@ -149,7 +150,7 @@
   }
   /** Proposes to whoever is elected, until one has an answer. */
   const proposeToElected = (command: unknown) => {
-    const members = places.flatMap(({ member }) => (member ? [member] : []))
+    const members = hosts.flatMap(({ member }) => (member ? [member] : []))
     const watches: Subscription[] = []
     return new Promise((resolve) => {
       const tryAt = (member: RaftMember) => {
@@ -162,14 +163,14 @@
   }
 
   beforeEach(async () => {
-    places = await Promise.all(NAMES.map(openPlace))
+    hosts = await Promise.all(NAMES.map(openHost))
     founders = Object.fromEntries(
-      places.map(({ server }) => [server.url, { url: server.url, kind: 'voter' }]),
+      hosts.map(({ server }) => [server.url, { url: server.url, kind: 'voter' }]),
     )
-    for (const place of places) await startAt(place, place.server.url, true)
+    for (const host of hosts) await startMember(host, host.server.url, true)
   })
   afterEach(async () => {
-    for (const { member, server } of places) {
+    for (const { member, server } of hosts) {
       await member?.close()
       await server.close(0)
     }
@@ -179,27 +180,27 @@
   /** Cuts the power of all right after an acknowledgement. */
   const losePower = async () => {
     await proposeToElected(buildTable(7))
-    const stopped = places.map(({ member }) => member)
-    for (const place of places) {
-      place.folder = place.folder.restart(createRandomSource(1))
-      place.member = undefined
+    const stopped = hosts.map(({ member }) => member)
+    for (const host of hosts) {
+      host.folder = host.folder.restart(createRandomSource(1))
+      host.member = undefined
     }
     for (const member of stopped) await member?.close()
   }
-  const startEmpty = async (place: Place) => {
-    place.folder = createMemoryFolder()
-    await startAt(place, `${place.server.url}#new`, false)
+  const startEmpty = async (host: Host) => {
+    host.folder = createMemoryFolder()
+    await startMember(host, `${host.server.url}#new`, false)
   }
-  const startKept = (place: Place) => startAt(place, place.server.url, false)
+  const startKept = (host: Host) => startMember(host, host.server.url, false)
 
   for (const order of ['first', 'last']) {
     it(`serve again with all that was acknowledged, the empty ones ${order}`, async function () {
       this.timeout(20_000)
       await losePower()
-      const [kept, lost] = [[places[0], places[3]], places.slice(1, 3)]
-      if (order === 'first') for (const place of lost) await startEmpty(place)
-      for (const place of kept) await startKept(place)
-      if (order === 'last') for (const place of lost) await startEmpty(place)
+      const [kept, lost] = [[hosts[0], hosts[3]], hosts.slice(1, 3)]
+      if (order === 'first') for (const host of lost) await startEmpty(host)
+      for (const host of kept) await startKept(host)
+      if (order === 'last') for (const host of lost) await startEmpty(host)
       expect(await proposeToElected(buildTable(7))).to.deep.equal({ isNewer: false, version: 7 })
     })
   }
@@ -207,8 +208,8 @@
   it('serve again where one of two has lost its disk and the other stays away', async function () {
     this.timeout(20_000)
     await losePower()
-    await startEmpty(places[1])
-    for (const place of [places[0], places[3]]) await startKept(place)
+    await startEmpty(hosts[1])
+    for (const host of [hosts[0], hosts[3]]) await startKept(host)
     expect(await proposeToElected(buildTable(7))).to.deep.equal({ isNewer: false, version: 7 })
   })
 })
--- a/packages/control/src/__tests__/lostProof.spec.ts
+++ b/packages/control/src/__tests__/lostProof.spec.ts
@@ -34,13 +34,13 @@
     for (const seed of [1, 2, 3]) {
       const group = await createTestGroup(names, seed)
       const old = await group.waitForLeader()
-      const [demoted, near, far] = names.filter((name) => name !== old.name)
+      const [demoted, reached, unreached] = names.filter((name) => name !== old.name)
       await group.run(ELECTION_MS)
       // A voter that fell silent is made a learner; the change reaches one other member only.
-      applyCut(group, [old.name], [far, demoted])
+      applyCut(group, [old.name], [unreached, demoted])
       startChange(old, demoted, 'learner').catch(() => undefined)
       await group.runUntil(
-        () => group.members.get(near)?.member.status().members[demoted].kind === 'learner',
+        () => group.members.get(reached)?.member.status().members[demoted].kind === 'learner',
         'the change has reached one',
       )
       group.frozenMembers.add(old.name)
@@ -78,15 +78,15 @@
   it('is needed where a name stays: an emptied member votes only once it is taken in again', async () => {
     const group = await createTestGroup(['a', 'b', 'c'])
     const leader = await group.waitForLeader()
-    const applyKind = async (kind: 'learner' | 'voter') => {
+    const changeKind = async (kind: 'learner' | 'voter') => {
       let isDone = false
       void startChange(leader, 'x', kind).then(() => (isDone = true))
       await group.runUntil(() => isDone, 'the change of the group')
       await group.run(ELECTION_MS)
     }
     await group.start('x', { isFounding: false })
-    await applyKind('learner')
-    await applyKind('voter')
+    await changeKind('learner')
+    await changeKind('voter')
     await group.losePower(['x'])
     const emptied = await group.start('x', { isFounding: false })
     await group.run(ELECTION_MS * 5)
--- a/packages/control/src/__tests__/memoryFolder.ts
+++ b/packages/control/src/__tests__/memoryFolder.ts
@@ -22,44 +22,44 @@
   restart(random: RandomSource): MemoryFolder
 }
 
-type Names = Map<string, FileState>
+type FileMap = Map<string, FileState>
 
 /** Creates a folder from what a disk holds. */
-export function createMemoryFolder(disk: Names = new Map()): MemoryFolder {
+export function createMemoryFolder(disk: FileMap = new Map()): MemoryFolder {
   /** Names as the process sees them, and as they are on the disk. */
-  const names: Names = new Map(disk)
-  let syncedNames: Names = new Map(disk)
+  const files: FileMap = new Map(disk)
+  let syncedFiles: FileMap = new Map(disk)
   let operations = 0
-  let crashing: number | undefined
+  let crashOperation: number | undefined
   let hasCrashed = false
 
-  const step = () => {
+  const countOperation = () => {
     operations += 1
-    if (hasCrashed || operations === crashing) {
+    if (hasCrashed || operations === crashOperation) {
       hasCrashed = true
       throw new CrashError('crashed')
     }
   }
-  const run = async <T>(work: () => T): Promise<T> => {
+  const runOperation = async <T>(work: () => T): Promise<T> => {
     await Promise.resolve()
     // A crash may come before or after the operation took effect.
-    if (operations % 2 === 0) step()
+    if (operations % 2 === 0) countOperation()
     const result = work()
-    if (operations % 2 !== 0) step()
+    if (operations % 2 !== 0) countOperation()
     return result
   }
   const createAppend = (file: FileState): AppendFile => ({
     append: (added) =>
-      run(() => {
+      runOperation(() => {
         file.data = Buffer.concat([file.data, added])
       }),
     sync: () =>
-      run(() => {
+      runOperation(() => {
         file.synced = file.data
       }),
     close: async () => {},
   })
-  const readSurvivor = (file: FileState, random: RandomSource): Buffer => {
+  const drawSurvivingData = (file: FileState, random: RandomSource): Buffer => {
     const unsynced = file.data.length - file.synced.length
     if (unsynced <= 0) return file.synced
     return file.data.subarray(0, file.synced.length + random.nextInt(unsynced + 1))
@@ -67,46 +67,46 @@
   return {
     operations: () => operations,
     crashAt: (operation) => {
-      crashing = operation
+      crashOperation = operation
     },
     restart: (random) => {
-      const found: Names = new Map()
+      const restored: FileMap = new Map()
       // Each name change that was not synced may or may not have reached the disk.
-      const survivors = random.next() < 0.5 ? syncedNames : names
+      const survivors = random.next() < 0.5 ? syncedFiles : files
       for (const [name, file] of survivors) {
-        const data = Buffer.from(readSurvivor(file, random))
-        found.set(name, { data, synced: data })
+        const data = Buffer.from(drawSurvivingData(file, random))
+        restored.set(name, { data, synced: data })
       }
-      return createMemoryFolder(found)
+      return createMemoryFolder(restored)
     },
-    read: (name) => run(() => names.get(name)?.data),
-    list: () => run(() => [...names.keys()]),
+    read: (name) => runOperation(() => files.get(name)?.data),
+    list: () => runOperation(() => [...files.keys()]),
     write: (name, data) =>
-      run(() => {
-        names.set(name, { data, synced: data })
+      runOperation(() => {
+        files.set(name, { data, synced: data })
       }),
     rename: (from, to) =>
-      run(() => {
-        const file = names.get(from)
+      runOperation(() => {
+        const file = files.get(from)
         if (!file) throw new Error(`no file ${from}`)
-        names.set(to, file)
-        names.delete(from)
+        files.set(to, file)
+        files.delete(from)
       }),
     remove: (name) =>
-      run(() => {
-        names.delete(name)
+      runOperation(() => {
+        files.delete(name)
       }),
     sync: () =>
-      run(() => {
-        syncedNames = new Map(names)
+      runOperation(() => {
+        syncedFiles = new Map(files)
       }),
     openAppend: (name, length) =>
-      run(() => {
-        const file = names.get(name) ?? { data: Buffer.alloc(0), synced: Buffer.alloc(0) }
+      runOperation(() => {
+        const file = files.get(name) ?? { data: Buffer.alloc(0), synced: Buffer.alloc(0) }
         file.data = file.data.subarray(0, length)
         file.synced = file.data
-        names.set(name, file)
-        syncedNames.set(name, file)
+        files.set(name, file)
+        syncedFiles.set(name, file)
         return createAppend(file)
       }),
   }
--- a/packages/control/src/__tests__/votes.spec.ts
+++ b/packages/control/src/__tests__/votes.spec.ts
@@ -8,9 +8,9 @@
 }
 
 /** Asks as `a`; who answers is given by the address, and silence by nothing. */
-async function askAs(
+async function runRoundAsA(
   answers: Readonly<Record<string, string>>,
-  options: { groups: MemberMap[]; isPreVote?: boolean; lostBefore?: string[] },
+  options: { groups: MemberMap[]; isPreVote?: boolean; knownLostVoters?: string[] },
 ) {
   const reply = (voter: string): VoteReply => ({
     voter,
@@ -22,10 +22,10 @@
     if (!answers[url]) throw new ConnectionError('no answer', true, false)
     return reply(answers[url])
   }
-  const found: string[] = []
+  const reportedLost: string[] = []
   const outcome = await runVoteRound({
     groups: options.groups,
-    knownLostVoters: options.lostBefore ?? [],
+    knownLostVoters: options.knownLostVoters ?? [],
     transport: { send } as unknown as RaftTransport,
     request: {
       isPreVote: options.isPreVote ?? false,
@@ -37,9 +37,9 @@
     },
     ownReply: reply('a'),
     onReplyTerm: async () => {},
-    onLostVoter: (voter) => void found.push(voter),
+    onLostVoter: (voter) => void reportedLost.push(voter),
   })
-  return { ...outcome, found }
+  return { ...outcome, found: reportedLost }
 }
 
 describe('a round of votes', () => {
@@ -47,11 +47,11 @@
   const answers = { b: 'b', c: 'c#new' }
 
   it('of four voters is won by half where a disk was proven lost before', async () => {
-    const pre = await askAs(answers, { groups: four, isPreVote: true })
+    const pre = await runRoundAsA(answers, { groups: four, isPreVote: true })
     expect(pre)
       .to.include({ isWon: true })
       .and.to.deep.include({ lostVoters: ['c'], found: ['c'] })
-    const real = await askAs(answers, { groups: four, lostBefore: ['c'] })
+    const real = await runRoundAsA(answers, { groups: four, knownLostVoters: ['c'] })
     expect(real)
       .to.include({ isWon: true })
       .and.to.deep.include({ lostVoters: ['c'] })
@@ -59,7 +59,7 @@
 
   it('does not count a loss that shows only while the real votes are given', async () => {
     // The voter that grants may be lost by now, to another candidate whose proof it is.
-    const real = await askAs(answers, { groups: four })
+    const real = await runRoundAsA(answers, { groups: four })
     expect(real)
       .to.include({ isWon: false })
       .and.to.deep.include({ lostVoters: [], found: ['c'] })
@@ -67,22 +67,28 @@
 
   it('must be won in each group that may decide', async () => {
     const groups = [buildVoters(['a', 'b', 'c']), buildVoters(['a', 'b', 'c', 'x'])]
-    const lostBefore = ['c']
-    expect((await askAs({ x: 'x', c: 'c#new' }, { groups, lostBefore })).isWon).to.equal(false)
-    expect((await askAs({ b: 'b', c: 'c#new' }, { groups, lostBefore })).isWon).to.equal(true)
+    const knownLostVoters = ['c']
+    expect((await runRoundAsA({ x: 'x', c: 'c#new' }, { groups, knownLostVoters })).isWon).to.equal(
+      false,
+    )
+    expect((await runRoundAsA({ b: 'b', c: 'c#new' }, { groups, knownLostVoters })).isWon).to.equal(
+      true,
+    )
   })
 
   it('is lost where as many disks are lost as make a majority', async () => {
-    const lostBefore = ['b', 'c', 'd']
-    expect((await askAs({}, { groups: four, lostBefore })).isWon).to.equal(false)
+    const knownLostVoters = ['b', 'c', 'd']
+    expect((await runRoundAsA({}, { groups: four, knownLostVoters })).isWon).to.equal(false)
     const two = [buildVoters(['a', 'b'])]
-    expect((await askAs({}, { groups: two, lostBefore: ['b'] })).isWon).to.equal(true)
+    expect((await runRoundAsA({}, { groups: two, knownLostVoters: ['b'] })).isWon).to.equal(true)
   })
 
   it('needs a majority of an odd group, whatever is lost', async () => {
     const five = [buildVoters(['a', 'b', 'c', 'd', 'e'])]
-    const lostBefore = ['d', 'e']
-    expect((await askAs({ b: 'b' }, { groups: five, lostBefore })).isWon).to.equal(false)
-    expect((await askAs({ b: 'b', c: 'c' }, { groups: five, lostBefore })).isWon).to.equal(true)
+    const knownLostVoters = ['d', 'e']
+    expect((await runRoundAsA({ b: 'b' }, { groups: five, knownLostVoters })).isWon).to.equal(false)
+    expect(
+      (await runRoundAsA({ b: 'b', c: 'c' }, { groups: five, knownLostVoters })).isWon,
+    ).to.equal(true)
   })
 })
--- a/packages/control/src/log/logStore.ts
+++ b/packages/control/src/log/logStore.ts
@@ -64,7 +64,7 @@
   /** Index of the last entry that is on the disk. */
   durableIndex(): number
   /** Index that the snapshot covers; entries at or below it are gone. */
-  snapshotIndex(): number
+  baseIndex(): number
   /** Term of an entry; undefined when it is not held. */
   findTerm(index: number): number | undefined
   /** Entries from `from` on, at most `limit`. */
@@ -94,7 +94,7 @@
 const TEMPORARY_SUFFIX = '.new'
 
 interface LoadedLog {
-  ballot: VoteState
+  voteState: VoteState
   base: { index: number; term: number }
   entries: LogEntry[]
   length: number
@@ -110,7 +110,7 @@
       log.base = { index: change.index, term: change.term }
       return
     case 'ballot':
-      log.ballot = change.ballot
+      log.voteState = change.ballot
       return
     case 'append':
       log.entries.push(...change.entries)
@@ -122,7 +122,7 @@
 
 async function loadLog(folder: DataFolder, logger: Logger): Promise<LoadedLog> {
   const empty = {
-    ballot: { term: 0, votedFor: undefined, mayVote: false },
+    voteState: { term: 0, votedFor: undefined, mayVote: false },
     base: { index: 0, term: 0 },
   }
   const log: LoadedLog = { ...empty, entries: [], length: 0 }
@@ -154,13 +154,13 @@
   const { folder, logger, onFailure } = options
   const loaded = await loadLog(folder, logger)
   let snapshot = await loadSnapshot(folder, loaded.base.index)
-  let { ballot, base } = loaded
+  let { voteState, base } = loaded
   /** Entries after the base; entry i stands at i - base.index - 1. */
   let entries = loaded.entries
   let durableIndex = base.index + entries.length
   let file: AppendFile = await folder.openAppend(LOG_FILE, loaded.length)
   let pending: { change: LogChange; resolve: () => void }[] = []
-  let writing: Promise<void> | undefined
+  let activeWrite: Promise<void> | undefined
   let failure: unknown
 
   const lastIndex = () => base.index + entries.length
@@ -193,14 +193,14 @@
       pending = []
       onFailure(cause)
     }
-    writing = undefined
+    activeWrite = undefined
   }
-  const write = (change: LogChange): Promise<void> =>
+  const enqueueWrite = (change: LogChange): Promise<void> =>
     new Promise((resolve) => {
       // A waiter of a failed disk is never answered; the member has stopped by then.
       if (failure) return
       pending.push({ change, resolve })
-      writing ??= runWriter()
+      activeWrite ??= runWriter()
     })
 
   const writeCompacted = async (next: Snapshot, kept: readonly LogEntry[]) => {
@@ -210,7 +210,7 @@
     await folder.sync()
     const changes: LogChange[] = [
       { kind: 'base', index: next.index, term: next.term },
-      { kind: 'ballot', ballot },
+      { kind: 'ballot', ballot: voteState },
       { kind: 'append', entries: kept },
     ]
     const record = encodeRecord(changes)
@@ -227,14 +227,14 @@
     }
   }
   const compact = async (next: Snapshot) => {
-    while (writing) await writing
+    while (activeWrite) await activeWrite
     if (failure || next.index <= base.index) return
-    const run = async () => {
-      const isHeld = findTerm(next.index) === next.term
-      const kept = isHeld ? entries.slice(next.index - base.index) : []
+    const runCompaction = async () => {
+      const isRetained = findTerm(next.index) === next.term
+      const kept = isRetained ? entries.slice(next.index - base.index) : []
       try {
         await writeCompacted(next, kept)
-        entries = isHeld ? entries.slice(next.index - base.index) : []
+        entries = isRetained ? entries.slice(next.index - base.index) : []
         base = { index: next.index, term: next.term }
         snapshot = next
         durableIndex = Math.min(base.index + kept.length, lastIndex())
@@ -243,42 +243,42 @@
         failure = cause
         onFailure(cause)
       }
-      writing = undefined
-      if (!failure && pending.length > 0) writing = runWriter()
+      activeWrite = undefined
+      if (!failure && pending.length > 0) activeWrite = runWriter()
     }
-    writing = run()
-    await writing
+    activeWrite = runCompaction()
+    await activeWrite
   }
 
   return {
-    voteState: () => ballot,
+    voteState: () => voteState,
     snapshot: () => snapshot,
     lastIndex,
     lastTerm: () => entries.at(-1)?.term ?? base.term,
     durableIndex: () => durableIndex,
-    snapshotIndex: () => base.index,
+    baseIndex: () => base.index,
     findTerm,
     listEntries: (from, limit) => {
       const start = from - base.index - 1
       return entries.slice(start, start + limit)
     },
     saveVoteState: (next) => {
-      ballot = next
-      return write({ kind: 'ballot', ballot: next })
+      voteState = next
+      return enqueueWrite({ kind: 'ballot', ballot: next })
     },
     append: (added) => {
       if (added.length === 0) return Promise.resolve()
       entries.push(...added)
-      return write({ kind: 'append', entries: added })
+      return enqueueWrite({ kind: 'append', entries: added })
     },
     truncate: (from) => {
       entries.length = Math.max(0, from - base.index - 1)
       durableIndex = Math.min(durableIndex, from - 1)
-      return write({ kind: 'truncate', from })
+      return enqueueWrite({ kind: 'truncate', from })
     },
     compact,
     close: async () => {
-      while (writing) await writing
+      while (activeWrite) await activeWrite
       await file.close()
     },
   }
--- a/packages/control/src/log/records.ts
+++ b/packages/control/src/log/records.ts
@@ -32,8 +32,8 @@
 function decodeRecord(data: Buffer, offset: number): { body: Buffer; end: number } | undefined {
   if (offset + HEADER_BYTES > data.length) return undefined
   const header = data.subarray(offset, offset + HEADER_BYTES)
-  const lengthSum = crc32.buf(header.subarray(0, LENGTH_BYTES))
-  if (header.readInt32BE(LENGTH_BYTES) !== lengthSum) return undefined
+  const lengthChecksum = crc32.buf(header.subarray(0, LENGTH_BYTES))
+  if (header.readInt32BE(LENGTH_BYTES) !== lengthChecksum) return undefined
   const end = offset + HEADER_BYTES + header.readUInt32BE(0)
   if (end > data.length) return undefined
   const body = data.subarray(offset + HEADER_BYTES, end)
@@ -63,11 +63,11 @@
     payloads.push(JSON.parse(record.body.toString('utf8')))
     offset = record.end
   }
-  const next = offset < data.length ? findRecordAfter(data, offset + 1) : undefined
-  if (next !== undefined) {
+  const nextRecord = offset < data.length ? findRecordAfter(data, offset + 1) : undefined
+  if (nextRecord !== undefined) {
     throw new SpoolgateError(
       'internal',
-      `${file}: damaged at byte ${offset} with whole records from byte ${next}; ` +
+      `${file}: damaged at byte ${offset} with whole records from byte ${nextRecord}; ` +
         'move the data folder away and let this member join anew from the others',
     )
   }
--- a/packages/control/src/raft/appliedLog.ts
+++ b/packages/control/src/raft/appliedLog.ts
@@ -33,17 +33,17 @@
 /** Loads the snapshot of the store, if there is one, into machine and membership. */
 export function createAppliedLog(options: AppliedLogOptions): AppliedLog {
   const { store, machine, membership, proposals, logger } = options
-  let commitIndex = store.snapshotIndex()
-  let appliedIndex = store.snapshotIndex()
+  let commitIndex = store.baseIndex()
+  let appliedIndex = store.baseIndex()
   let isCompacting = false
 
-  const loadState = () => {
+  const restoreSnapshot = () => {
     const saved = store.snapshot()?.state as SavedState | undefined
     if (saved) machine.load(saved.machine)
     membership.reload()
   }
-  const compactWhenLarge = async () => {
-    if (isCompacting || appliedIndex - store.snapshotIndex() < options.snapshotEvery) return
+  const compactIfDue = async () => {
+    if (isCompacting || appliedIndex - store.baseIndex() < options.snapshotEvery) return
     isCompacting = true
     const state: SavedState = {
       machine: machine.save(),
@@ -51,7 +51,7 @@
     }
     const snapshot = { index: appliedIndex, term: store.findTerm(appliedIndex) ?? 0, state }
     await store.compact(snapshot)
-    logger.info('raft.compacted', { index: store.snapshotIndex() })
+    logger.info('raft.compacted', { index: store.baseIndex() })
     isCompacting = false
   }
   const applyCommitted = () => {
@@ -64,23 +64,23 @@
         : machine.apply(entry.command, entry.index)
       proposals.finish(entry, result)
     }
-    void compactWhenLarge()
+    void compactIfDue()
   }
-  loadState()
+  restoreSnapshot()
   return {
     commitIndex: () => commitIndex,
     appliedTerm: () => store.findTerm(appliedIndex),
     advance: async (next) => {
       if (next <= commitIndex) return
       commitIndex = next
-      const settled = membership.recordCommitted(commitIndex)
+      const groupSaved = membership.recordCommitted(commitIndex)
       applyCommitted()
-      await settled
+      await groupSaved
     },
     install: async (snapshot) => {
       if (snapshot.index <= commitIndex) return
       await store.compact(snapshot)
-      loadState()
+      restoreSnapshot()
       commitIndex = snapshot.index
       appliedIndex = snapshot.index
     },
--- a/packages/control/src/raft/electionReport.ts
+++ b/packages/control/src/raft/electionReport.ts
@@ -44,19 +44,19 @@
 /** Creates the report of a member that knows no leader. */
 export function createElectionReport(options: ElectionReportOptions): ElectionReport {
   const { logger, timers } = options
-  const leaderless: Histogram | undefined = options.metrics?.histogram(
+  const leaderlessHistogram: Histogram | undefined = options.metrics?.histogram(
     'leaderless_ms',
     'Time without a known leader in milliseconds',
   )
   let lastContent: string | undefined
-  let writtenAt = -Infinity
+  let lastWrittenAt = -Infinity
   let leaderlessSince: number | undefined = timers.now()
 
   const isDue = (content: string) => {
     const period = content === lastContent ? REPEATED_LINE_INTERVAL_MS : CHANGED_LINE_INTERVAL_MS
-    if (timers.now() - writtenAt < period) return false
+    if (timers.now() - lastWrittenAt < period) return false
     lastContent = content
-    writtenAt = timers.now()
+    lastWrittenAt = timers.now()
     return true
   }
   const leaderlessMs = () => timers.now() - (leaderlessSince ?? timers.now())
@@ -83,7 +83,7 @@
         return
       }
       if (leaderlessSince === undefined) return
-      leaderless?.record(leaderlessMs())
+      leaderlessHistogram?.record(leaderlessMs())
       leaderlessSince = undefined
       lastContent = undefined
     },
--- a/packages/control/src/raft/leaseGrant.ts
+++ b/packages/control/src/raft/leaseGrant.ts
@@ -56,16 +56,16 @@
     },
     isLeaderAlive: () => receivedAt !== undefined && timers.now() - receivedAt < electionMs,
     findLeaseHolder: ({ leaseHolder, term }, endedTerms) => {
-      const isOver = receivedAt !== undefined || timers.now() - startedAt >= electionMs
+      const isExpired = receivedAt !== undefined || timers.now() - startedAt >= electionMs
       // Without any term this member has never followed anybody.
-      if (isOver || term === 0) return undefined
+      if (isExpired || term === 0) return undefined
       const holder = leaseHolder ?? UNKNOWN_HOLDER
       return isLeaseEnded(holder, endedTerms) ? undefined : holder
     },
     drawElectionTimeout: () => {
       if (!isStarting()) return electionMs * (1 + random.next())
-      const [least, most] = STARTUP_RETRY_RATIOS
-      return electionMs * (least + (most - least) * random.next())
+      const [min, max] = STARTUP_RETRY_RATIOS
+      return electionMs * (min + (max - min) * random.next())
     },
   }
 }
--- a/packages/control/src/raft/member.ts
+++ b/packages/control/src/raft/member.ts
@@ -38,7 +38,7 @@
   let role: RaftRole = 'follower'
   let leader: string | undefined
   let leaderUrl: string | undefined
-  const promise = createLeaseGrant({
+  const leaseGrant = createLeaseGrant({
     timers,
     random,
     electionMs: options.electionMs,
@@ -52,14 +52,14 @@
   let replicator: Replicator | undefined
   let isClosed = false
   /** Followers take one message at a time, so that log changes never overlap. */
-  let inbox: Promise<unknown> = Promise.resolve()
+  let messageQueue: Promise<unknown> = Promise.resolve()
 
   const term = () => store.voteState().term
   const membership = createMembership({ name, store, founders: options.founders })
-  const saveBallot = (change: Partial<VoteState>) =>
+  const saveVoteState = (change: Partial<VoteState>) =>
     store.saveVoteState({ ...store.voteState(), ...change })
   if (options.isFounding && store.lastIndex() === 0 && term() === 0) {
-    void saveBallot({ mayVote: true })
+    void saveVoteState({ mayVote: true })
   }
   const applied = createAppliedLog({
     store,
@@ -71,15 +71,15 @@
   })
   const { commitIndex } = applied
 
-  const followLeader = (found: string | undefined, url: string | undefined) => {
-    leader = found
+  const followLeader = (newLeader: string | undefined, url: string | undefined) => {
+    leader = newLeader
     leaderUrl = url
-    report.recordLeader(found)
+    report.recordLeader(newLeader)
   }
   const startElectionTimer = () => {
     electionTimer?.unsubscribe()
     if (isClosed) return
-    electionTimer = timers.after(promise.drawElectionTimeout()).subscribe(() => {
+    electionTimer = timers.after(leaseGrant.drawElectionTimeout()).subscribe(() => {
       startElectionTimer()
       if (role !== 'leader') {
         // Learners stand in no election, and must see all the same that their leader is gone.
@@ -88,24 +88,24 @@
       void runElection()
     })
   }
-  const becomeFollower = (found: string | undefined, url: string | undefined) => {
+  const becomeFollower = (newLeader: string | undefined, url: string | undefined) => {
     if (role === 'leader') {
-      logger.warn('raft.steppedDown', { term: term(), leader: found })
+      logger.warn('raft.steppedDown', { term: term(), leader: newLeader })
       replicator?.close()
       replicator = undefined
       proposals.failAll()
     }
     role = 'follower'
-    followLeader(found, url)
+    followLeader(newLeader, url)
     startElectionTimer()
   }
   const adoptTerm = async (next: number) => {
     if (next <= term()) return
     becomeFollower(undefined, undefined)
-    await saveBallot({ term: next, votedFor: undefined })
+    await saveVoteState({ term: next, votedFor: undefined })
   }
 
-  const appendOwn = (command: unknown): LogEntry => {
+  const appendLocal = (command: unknown): LogEntry => {
     const entry = { index: store.lastIndex() + 1, term: term(), command }
     membership.observe(entry)
     void store.append([entry]).then(() => replicator?.recordLocalAppend())
@@ -135,24 +135,24 @@
         // Until a new voter knows that it is one, the loss of the others would leave it no vote.
         if (isChanging && membership.lastChangeIndex() <= index) replicator?.sendNow()
       },
-      onHigherTerm: (found) => void adoptTerm(found),
+      onHigherTerm: (higherTerm) => void adoptTerm(higherTerm),
       onQuorumLost: () => becomeFollower(undefined, undefined),
       quorumTimeoutMs: options.electionMs * 2,
     })
-    appendOwn(membership.buildFirstCommand(lost))
+    appendLocal(membership.buildFirstCommand(lost))
     elected.next(term())
   }
 
   const askForVotes = async (isPreVote: boolean, voteTerm: number, endedTerms: EndedTerms) => {
     // A member stands for election only once its own promise no longer keeps it from voting.
-    const heldBackBy = isPreVote ? findHolder(endedTerms) : undefined
+    const heldBackBy = isPreVote ? findLeaseHolder(endedTerms) : undefined
     const groups = membership.listElectionGroups(commitIndex())
     const outcome = await runVoteRound({
       groups,
       knownLostVoters: [...lostVoters, ...membership.listLostVoters()],
       transport,
-      onReplyTerm: async (found) => {
-        if (found > term()) await adoptTerm(found)
+      onReplyTerm: async (replyTerm) => {
+        if (replyTerm > term()) await adoptTerm(replyTerm)
       },
       onLostVoter: (voter, url, found) => {
         if (lostVoters.has(voter)) return
@@ -185,7 +185,7 @@
   }
   /** A vote for a member may become its lease, as an acknowledged heartbeat does. */
   const saveVote = (voteTerm: number, candidate: string) =>
-    saveBallot({
+    saveVoteState({
       term: voteTerm,
       votedFor: candidate,
       leaseHolder: { name: candidate, term: voteTerm },
@@ -200,27 +200,27 @@
       report.recordIneligible(membership.members()[name]?.kind, mayVote)
       return
     }
-    const started = term()
+    const startTerm = term()
     role = 'candidate'
     followLeader(undefined, undefined)
     // An earlier campaign that has not been won by now is given up, so that nobody waits for it.
     campaignTerm = undefined
-    const { isWon, endedTerms } = await askForVotes(true, started + 1, {})
-    if (!isWon || !isCandidateOf(started)) return
-    campaignTerm = started + 1
+    const { isWon, endedTerms } = await askForVotes(true, startTerm + 1, {})
+    if (!isWon || !isCandidateOf(startTerm)) return
+    campaignTerm = startTerm + 1
     startElectionTimer()
-    await saveVote(started + 1, name)
-    const outcome = await askForVotes(false, started + 1, endedTerms)
-    const isElected = outcome.isWon && isCampaigning() && campaignTerm === started + 1
+    await saveVote(startTerm + 1, name)
+    const outcome = await askForVotes(false, startTerm + 1, endedTerms)
+    const isElected = outcome.isWon && isCampaigning() && campaignTerm === startTerm + 1
     if (isElected) becomeLeader(outcome.lostVoters)
   }
 
   const isUpToDate = (request: VoteRequest) =>
     request.lastTerm > store.lastTerm() ||
     (request.lastTerm === store.lastTerm() && request.lastIndex >= store.lastIndex())
-  const hasLiveLeader = () => (role === 'leader' ? hasLease() : promise.isLeaderAlive())
-  const findHolder = (endedTerms: EndedTerms) =>
-    promise.findLeaseHolder(store.voteState(), { ...endedTerms, [name]: findEndedTerm() })
+  const hasLiveLeader = () => (role === 'leader' ? hasLease() : leaseGrant.isLeaderAlive())
+  const findLeaseHolder = (endedTerms: EndedTerms) =>
+    leaseGrant.findLeaseHolder(store.voteState(), { ...endedTerms, [name]: findEndedTerm() })
   /** Highest term that this member certainly does not lead, now or later. */
   const findEndedTerm = () => (role === 'leader' || isCampaigning() ? term() - 1 : term())
   const hasLease = () => {
@@ -237,7 +237,7 @@
     if (request.term < term()) return 'oldTerm'
     return isUpToDate(request) ? undefined : 'behind'
   }
-  const voteNow = async (request: VoteRequest): Promise<VoteReply> => {
+  const processVote = async (request: VoteRequest): Promise<VoteReply> => {
     const reply = (refusal?: VoteRefusal, heldBackBy?: LeaseHolder): VoteReply => ({
       voter: name,
       term: term(),
@@ -248,7 +248,7 @@
     })
     const refusal = findRefusal(request)
     if (refusal) return reply(refusal)
-    const holder = findHolder(request.endedTerms)
+    const holder = findLeaseHolder(request.endedTerms)
     if (holder) return reply('heldBack', holder)
     if (request.isPreVote) return reply()
     await adoptTerm(request.term)
@@ -265,7 +265,7 @@
   const acceptLeader = async (from: { term: number; leader: string; leaderUrl: string }) => {
     if (from.term < term()) return false
     await Promise.all([adoptTerm(from.term), saveLeaseHolder(from.leader, from.term)])
-    promise.recordContact()
+    leaseGrant.recordContact()
     becomeFollower(from.leader, from.leaderUrl)
     return true
   }
@@ -273,12 +273,12 @@
   const saveLeaseHolder = async (leaderName: string, leaderTerm: number) => {
     const known = store.voteState().leaseHolder
     if (known?.name === leaderName && known.term === leaderTerm) return
-    await saveBallot({ leaseHolder: { name: leaderName, term: leaderTerm } })
+    await saveVoteState({ leaseHolder: { name: leaderName, term: leaderTerm } })
   }
-  const takeEntries = async (request: AppendRequest) => {
-    const isHeld = (entry: LogEntry) =>
-      entry.index <= store.snapshotIndex() || store.findTerm(entry.index) === entry.term
-    const added = request.entries.filter((entry) => !isHeld(entry))
+  const appendEntries = async (request: AppendRequest) => {
+    const isStored = (entry: LogEntry) =>
+      entry.index <= store.baseIndex() || store.findTerm(entry.index) === entry.term
+    const added = request.entries.filter((entry) => !isStored(entry))
     if (added.length === 0) return
     if (added[0].index <= store.lastIndex()) {
       invariants.assert('logKeepsCommitted', added[0].index > commitIndex(), () => ({
@@ -291,35 +291,32 @@
     added.forEach(membership.observe)
     await store.append(added)
   }
-  const appendNow = async (request: AppendRequest): Promise<AppendReply> => {
+  const processAppend = async (request: AppendRequest): Promise<AppendReply> => {
     if (!(await acceptLeader(request))) return { term: term(), isAccepted: false, index: 0 }
     const { previousIndex, previousTerm, entries } = request
     const isMatching =
-      previousIndex <= store.snapshotIndex() || store.findTerm(previousIndex) === previousTerm
+      previousIndex <= store.baseIndex() || store.findTerm(previousIndex) === previousTerm
     if (!isMatching) {
-      const index = Math.max(
-        store.snapshotIndex() + 1,
-        Math.min(previousIndex, store.lastIndex() + 1),
-      )
+      const index = Math.max(store.baseIndex() + 1, Math.min(previousIndex, store.lastIndex() + 1))
       return { term: term(), isAccepted: false, index }
     }
-    await takeEntries(request)
+    await appendEntries(request)
     const matched = previousIndex + entries.length
     await applied.advance(Math.min(request.commitIndex, matched))
     // What the sender committed in its own term covers every change of the group before it.
-    const isCurrent = matched >= request.commitIndex
-    const isOfTerm = store.findTerm(request.commitIndex) === request.term
-    if (isCurrent && isOfTerm) await membership.enableVoting()
+    const isCaughtUp = matched >= request.commitIndex
+    const isCommittedInTerm = store.findTerm(request.commitIndex) === request.term
+    if (isCaughtUp && isCommittedInTerm) await membership.enableVoting()
     return { term: term(), isAccepted: true, index: matched }
   }
-  const installNow = async (request: InstallRequest): Promise<InstallReply> => {
+  const processInstall = async (request: InstallRequest): Promise<InstallReply> => {
     if (!(await acceptLeader(request))) return { term: term() }
     await applied.install(request.snapshot)
     return { term: term() }
   }
   const enqueue = <T>(run: () => Promise<T>): Promise<T> => {
-    const result = inbox.then(run)
-    inbox = result.catch(() => {})
+    const result = messageQueue.then(run)
+    messageQueue = result.catch(() => {})
     return result
   }
 
@@ -332,7 +329,7 @@
   const isCurrent = () => !isClosed && hasLease() && applied.appliedTerm() === term()
   const propose = (command: unknown): Promise<unknown> => {
     checkLeader()
-    return proposals.add(appendOwn(command))
+    return proposals.add(appendLocal(command))
   }
 
   startElectionTimer()
@@ -372,15 +369,15 @@
       }
       await propose({ group: 'members', members: next } satisfies GroupCommand)
     },
-    handleVote: (request) => enqueue(() => voteNow(request)),
-    handleAppend: (request) => enqueue(() => appendNow(request)),
-    handleInstall: (request) => enqueue(() => installNow(request)),
+    handleVote: (request) => enqueue(() => processVote(request)),
+    handleAppend: (request) => enqueue(() => processAppend(request)),
+    handleInstall: (request) => enqueue(() => processInstall(request)),
     close: async () => {
       isClosed = true
       electionTimer?.unsubscribe()
       replicator?.close()
       proposals.failAll()
-      await inbox
+      await messageQueue
       await store.close()
     },
   }
--- a/packages/control/src/raft/membership.ts
+++ b/packages/control/src/raft/membership.ts
@@ -87,44 +87,49 @@
   /** The groups that the log holds, oldest first. */
   let groups: GroupVersion[] = [{ index: 0, members: {}, lostVoters: [] }]
   /** Index of the last change that a later one proves to be committed. */
-  let provenChange = 0
+  let impliedCommittedIndex = 0
 
-  const newest = () => groups[groups.length - 1]
-  const members = () => newest().members
-  const lastChangeIndex = () => (groups.length > 1 ? newest().index : 0)
-  const listUnsettled = (commitIndex: number) => {
-    const settled = Math.max(commitIndex, provenChange, store.voteState().settledChange ?? 0)
-    const from = groups.findLastIndex(({ index }) => index <= settled)
+  const latest = () => groups[groups.length - 1]
+  const members = () => latest().members
+  const lastChangeIndex = () => (groups.length > 1 ? latest().index : 0)
+  const listPossibleGroups = (commitIndex: number) => {
+    const committedIndex = Math.max(
+      commitIndex,
+      impliedCommittedIndex,
+      store.voteState().settledChange ?? 0,
+    )
+    const first = groups.findLastIndex(({ index }) => index <= committedIndex)
     // An instance that was taken in does not know the group before the first change in its log.
-    return groups.slice(Math.max(from, 0)).filter(({ members }) => listVoters(members).length > 0)
+    return groups.slice(Math.max(first, 0)).filter(({ members }) => listVoters(members).length > 0)
   }
   const observe = ({ command, index }: LogEntry) => {
     if (!isGroupCommand(command) || command.group !== 'members') return
     // A change is begun only once the one before is committed, but where disks were lost.
-    if (!command.lostVoters) provenChange = lastChangeIndex()
+    if (!command.lostVoters) impliedCommittedIndex = lastChangeIndex()
     groups.push({ index, members: command.members, lostVoters: command.lostVoters ?? [] })
   }
   return {
     members,
     isVoter: () => members()[name]?.kind === 'voter',
     listCommitGroups: (commitIndex) => {
-      const unsettled = listUnsettled(commitIndex)
-      return unsettled.map(({ members }, place) => {
-        const later = unsettled.slice(place + 1)
+      const possible = listPossibleGroups(commitIndex)
+      return possible.map(({ members }, position) => {
+        const later = possible.slice(position + 1)
         return listWithout(
           members,
           later.flatMap(({ lostVoters }) => lostVoters),
         )
       })
     },
-    listElectionGroups: (commitIndex) => listUnsettled(commitIndex).map(({ members }) => members),
+    listElectionGroups: (commitIndex) =>
+      listPossibleGroups(commitIndex).map(({ members }) => members),
     listLostVoters: () => groups.flatMap(({ lostVoters }) => lostVoters),
     findMembersAt: (index) =>
       (groups.findLast(({ index: at }) => at <= index) ?? groups[0]).members,
     recordCommitted: async (commitIndex) => {
-      const settled = groups.findLast(({ index }) => index <= commitIndex)?.index ?? 0
-      if (settled <= (store.voteState().settledChange ?? 0)) return
-      await store.saveVoteState({ ...store.voteState(), settledChange: settled })
+      const committedChange = groups.findLast(({ index }) => index <= commitIndex)?.index ?? 0
+      if (committedChange <= (store.voteState().settledChange ?? 0)) return
+      await store.saveVoteState({ ...store.voteState(), settledChange: committedChange })
     },
     enableVoting: async () => {
       if (members()[name]?.kind !== 'learner' || store.voteState().mayVote) return
@@ -132,19 +137,17 @@
     },
     lastChangeIndex,
     buildFirstCommand: (lostVoters) => {
-      const isUnnamed = lastChangeIndex() === 0 && !store.snapshot()
-      if (!isUnnamed && lostVoters.length === 0) return { group: 'noop' }
+      const hasNoStoredGroup = lastChangeIndex() === 0 && !store.snapshot()
+      if (!hasNoStoredGroup && lostVoters.length === 0) return { group: 'noop' }
       return { group: 'members', members: listWithout(members(), lostVoters), lostVoters }
     },
     observe,
     reload: () => {
       const saved = store.snapshot()?.state as SavedState | undefined
       const founders = store.voteState().mayVote ? options.founders : {}
-      groups = [
-        { index: store.snapshotIndex(), members: saved?.members ?? founders, lostVoters: [] },
-      ]
-      provenChange = 0
-      for (const entry of store.listEntries(store.snapshotIndex() + 1, Infinity)) observe(entry)
+      groups = [{ index: store.baseIndex(), members: saved?.members ?? founders, lostVoters: [] }]
+      impliedCommittedIndex = 0
+      for (const entry of store.listEntries(store.baseIndex() + 1, Infinity)) observe(entry)
     },
   }
 }
--- a/packages/control/src/raft/replicator.ts
+++ b/packages/control/src/raft/replicator.ts
@@ -82,7 +82,7 @@
   const startedAt = timers.now()
   let isClosed = false
 
-  const recordProgress = () => {
+  const advanceCommitIndex = () => {
     if (isClosed) return
     const findMatch = (member: string) =>
       member === name ? store.durableIndex() : (peers.get(member)?.matchIndex ?? 0)
@@ -96,34 +96,35 @@
   // A lease rests on all groups that decide, as a commit does: while the group changes, whoever is
   // elected by half of the group before the change need not meet a majority of the one after it.
   const findQuorumInstant = (now: number, findConfirmed: (peer: Peer) => number) => {
-    const findOne = (member: string) => {
+    const findInstant = (member: string) => {
       const peer = peers.get(member)
       if (member === name) return now
       return peer ? findConfirmed(peer) : -Infinity
     }
     const reached = options.listCommitGroups()
-    return Math.min(...reached.map((members) => findMajorityValue(members, findOne)))
+    return Math.min(...reached.map((members) => findMajorityValue(members, findInstant)))
   }
   const confirmedAt = () => findQuorumInstant(timers.now(), (peer) => peer.confirmedAt)
-  const promisedAt = () => findQuorumInstant(timers.promiseNow(), (peer) => peer.leaseConfirmedAt)
+  const leaseConfirmedAt = () =>
+    findQuorumInstant(timers.promiseNow(), (peer) => peer.leaseConfirmedAt)
 
   const sendSnapshot = async (member: string, info: MemberInfo, peer: Peer) => {
     const snapshot = store.snapshot()
     if (!snapshot) return
     const request = { term, leader: name, leaderUrl: options.url, snapshot }
     const sentAt = timers.now()
-    const promisedFrom = timers.promiseNow()
+    const leaseSentAt = timers.promiseNow()
     const reply = await transport.send(member, info.url, 'install', request)
     if (reply.term > term) return options.onHigherTerm(reply.term)
     peer.confirmedAt = sentAt
-    peer.leaseConfirmedAt = promisedFrom
+    peer.leaseConfirmedAt = leaseSentAt
     peer.matchIndex = Math.max(peer.matchIndex, snapshot.index)
     peer.nextIndex = peer.matchIndex + 1
   }
   const sendEntries = async (member: string, info: MemberInfo, peer: Peer) => {
     const previousIndex = peer.nextIndex - 1
     const sentAt = timers.now()
-    const promisedFrom = timers.promiseNow()
+    const leaseSentAt = timers.promiseNow()
     const reply = await transport.send(member, info.url, 'append', {
       term,
       leader: name,
@@ -135,14 +136,14 @@
     })
     if (reply.term > term) return options.onHigherTerm(reply.term)
     peer.confirmedAt = sentAt
-    peer.leaseConfirmedAt = promisedFrom
+    peer.leaseConfirmedAt = leaseSentAt
     if (!reply.isAccepted) {
       peer.nextIndex = Math.max(1, reply.index)
       return
     }
     peer.matchIndex = Math.max(peer.matchIndex, reply.index)
     peer.nextIndex = peer.matchIndex + 1
-    recordProgress()
+    advanceCommitIndex()
   }
   const waitForWork = async (peer: Peer) => {
     if (peer.nextIndex <= store.lastIndex()) return
@@ -153,7 +154,7 @@
   const runPeer = async (member: string, info: MemberInfo, peer: Peer) => {
     while (!isClosed && isMember(member)) {
       try {
-        if (peer.nextIndex <= store.snapshotIndex()) await sendSnapshot(member, info, peer)
+        if (peer.nextIndex <= store.baseIndex()) await sendSnapshot(member, info, peer)
         else await sendEntries(member, info, peer)
       } catch {
         await waitFor(timers, options.heartbeatMs)
@@ -177,7 +178,7 @@
       void runPeer(member, info, peer)
     }
   }
-  const watch: Subscription = timers.every(options.heartbeatMs).subscribe(() => {
+  const quorumCheck: Subscription = timers.every(options.heartbeatMs).subscribe(() => {
     startPeers()
     const lastReceivedAt = Math.max(confirmedAt(), startedAt)
     if (timers.now() - lastReceivedAt > options.quorumTimeoutMs) options.onQuorumLost()
@@ -185,13 +186,13 @@
   startPeers()
 
   return {
-    recordLocalAppend: recordProgress,
+    recordLocalAppend: advanceCommitIndex,
     sendNow: () => {
       startPeers()
       for (const peer of peers.values()) peer.wakeController.abort()
     },
     confirmedAt,
-    leaseConfirmedAt: promisedAt,
+    leaseConfirmedAt,
     listFollowers: () =>
       [...peers].map(([member, peer]) => ({
         name: member,
@@ -200,7 +201,7 @@
       })),
     close: () => {
       isClosed = true
-      watch.unsubscribe()
+      quorumCheck.unsubscribe()
       for (const peer of peers.values()) peer.wakeController.abort()
     },
   }
--- a/packages/control/src/raft/votes.ts
+++ b/packages/control/src/raft/votes.ts
@@ -54,20 +54,13 @@
  * vote counts in the next round only, so that two such elections of one term always share a voter.
  */
 export function runVoteRound(options: VoteRoundOptions): Promise<VoteOutcome> {
-  const {
-    groups,
-    transport,
-    request,
-    ownReply: own,
-    onReplyTerm: onHigherTerm,
-    onLostVoter,
-  } = options
+  const { groups, transport, request, ownReply, onReplyTerm, onLostVoter } = options
   const members: MemberMap = Object.assign({}, ...groups)
-  const replies = new Map([[request.candidate, own]])
+  const replies = new Map([[request.candidate, ownReply]])
   const failures = new Map<string, string>()
   const endedTerms: Record<string, number> = {
     ...request.endedTerms,
-    [request.candidate]: own.endedTerm,
+    [request.candidate]: ownReply.endedTerm,
   }
   const isGranting = ({ isGranted, heldBackBy }: VoteReply) =>
     isGranted ||
@@ -83,23 +76,25 @@
   }
   const buildAnswers = () =>
     Object.fromEntries(Object.keys(members).map((name) => [name, describeAnswer(name)]))
-  const buildWon = (lostVoters: readonly string[]): VoteOutcome => ({
+  const buildWonOutcome = (lostVoters: readonly string[]): VoteOutcome => ({
     isWon: true,
     endedTerms,
     lostVoters,
     answers: buildAnswers(),
   })
   // A member that answers at the address of another one has moved; it says nothing of that one's disk.
-  const isProof = (name: string, { voter }: VoteReply) =>
+  const isLostDiskProof = (name: string, { voter }: VoteReply) =>
     voter !== name && (members[voter] === undefined || members[voter].url === members[name].url)
   const listLost = () => {
-    const found = [...replies].filter(([name, reply]) => isProof(name, reply)).map(([name]) => name)
+    const found = [...replies]
+      .filter(([name, reply]) => isLostDiskProof(name, reply))
+      .map(([name]) => name)
     return new Set([...options.knownLostVoters, ...(request.isPreVote ? found : [])])
   }
   const findOutcome = (): VoteOutcome | undefined => {
-    const ofMembers = [...replies].filter(([name, { voter }]) => voter === name)
+    const memberReplies = [...replies].filter(([name, { voter }]) => voter === name)
     const granting = new Set(
-      ofMembers.filter(([, reply]) => isGranting(reply)).map(([name]) => name),
+      memberReplies.filter(([, reply]) => isGranting(reply)).map(([name]) => name),
     )
     if (!granting.has(request.candidate)) return undefined
     const lost = listLost()
@@ -109,7 +104,7 @@
       return undefined
     const isByMajority = groups.every((group) => countGranting(group) >= countMajority(group))
     const votersOfAny = new Set(groups.flatMap(listVoters))
-    return buildWon(isByMajority ? [] : [...votersOfAny].filter((name) => lost.has(name)))
+    return buildWonOutcome(isByMajority ? [] : [...votersOfAny].filter((name) => lost.has(name)))
   }
   const sendTo = async (other: string, url: string): Promise<VoteReply | undefined> => {
     try {
@@ -125,20 +120,20 @@
       if (outcome) resolve(outcome)
     }
     settle()
-    const asked = listOthers(members, request.candidate).map(async ([other, { url }]) => {
+    const requests = listOthers(members, request.candidate).map(async ([other, { url }]) => {
       const reply = await sendTo(other, url)
       if (!reply) return
-      await onHigherTerm(reply.term)
+      await onReplyTerm(reply.term)
       replies.set(other, reply)
       endedTerms[reply.voter] = reply.endedTerm
-      if (isProof(other, reply)) {
+      if (isLostDiskProof(other, reply)) {
         endedTerms[other] = ALL_TERMS
         onLostVoter(other, url, reply.voter)
       }
       settle()
     })
-    const lose = () =>
+    const resolveLost = () =>
       resolve({ isWon: false, endedTerms, lostVoters: [], answers: buildAnswers() })
-    void Promise.allSettled(asked).then(lose)
+    void Promise.allSettled(requests).then(resolveLost)
   })
 }
