--- a/packages/control/src/__tests__/logStore.spec.ts
+++ b/packages/control/src/__tests__/logStore.spec.ts
@@ -33,7 +33,7 @@
     for (let offset = 0; offset < records[0].length; offset += 1) {
       const damaged = Buffer.from(file)
       damaged[offset] ^= 0x40
-      expect(() => parseRecords(damaged, 'log')).to.throw(/damaged.*join anew/)
+      expect(() => parseRecords(damaged, 'log')).to.throw(/damaged.*rejoin the group/)
     }
   })
 })
--- a/packages/control/src/log/dataFolder.ts
+++ b/packages/control/src/log/dataFolder.ts
@@ -1,27 +1,27 @@
-/** Files of one data folder. What was written counts as kept only once it is synced. */
+/** File operations of a data folder. Written data is durable only after a sync. */
 import { mkdir, open, readdir, readFile, rename, rm, type FileHandle } from 'node:fs/promises'
 import { join } from 'node:path'
 
-/** A file that grows at its end. */
+/** Append-only file. */
 export interface AppendFile {
   append(data: Buffer): Promise<void>
-  /** Waits until everything appended is on the disk. */
+  /** Resolves once all appended data is on disk. */
   sync(): Promise<void>
   close(): Promise<void>
 }
 
-/** The files under one folder; tests put a faulty one in its place. */
+/** Data folder; tests replace it by one that simulates crashes. */
 export interface DataFolder {
-  /** Reads a file whole; undefined when there is none. */
+  /** Reads a whole file; undefined if it does not exist. */
   read(name: string): Promise<Buffer | undefined>
   list(): Promise<string[]>
-  /** Writes a file anew and syncs it; its name is kept only after {@link DataFolder.sync}. */
+  /** Replaces the content of a file and syncs it; a new name is durable only after {@link DataFolder.sync}. */
   write(name: string, data: Buffer): Promise<void>
   rename(from: string, to: string): Promise<void>
   remove(name: string): Promise<void>
-  /** Syncs the names in the folder. */
+  /** Syncs the directory itself, which makes created, renamed and removed names durable. */
   sync(): Promise<void>
-  /** Opens a file at its end after cutting it to `length` bytes. */
+  /** Truncates a file to `length` bytes, creating it if missing, and opens it for appending. */
   openAppend(name: string, length: number): Promise<AppendFile>
 }
 
@@ -39,7 +39,7 @@
   }
 }
 
-/** Opens a folder on the disk, creating it where needed. */
+/** Opens a folder on disk, creating it if missing. */
 export async function openDataFolder(path: string): Promise<DataFolder> {
   await mkdir(path, { recursive: true })
   const syncFolder = async () => {
--- a/packages/control/src/log/logStore.ts
+++ b/packages/control/src/log/logStore.ts
@@ -1,6 +1,6 @@
 /**
- * The durable part of a control instance: term, vote, entries and the last snapshot, in one data
- * folder. Writes are grouped: while one sync runs, what arrives waits and shares the next.
+ * Durable Raft state of a control instance in one data folder: term, vote, log entries and the last
+ * snapshot. Uses group commit: writes that arrive during a sync are batched into the next one.
  */
 import { SpoolgateError, type Logger } from '@spoolgate/core'
 import type { AppendFile, DataFolder } from './dataFolder.js'
@@ -13,69 +13,69 @@
   readonly command: unknown
 }
 
-/** State of the machine after the entry at `index`. */
+/** State of the state machine after applying the entry at `index`. */
 export interface Snapshot {
   readonly index: number
   readonly term: number
   readonly state: unknown
 }
 
-/** A leader that may hold a lease, with the term that it leads. */
+/** A leader that may hold a lease, and its term. */
 export interface LeaseHolder {
   readonly name: string
   readonly term: number
 }
 
-/** Term and vote, which must survive a restart. */
+/** Term, vote and related state that must survive a restart. */
 export interface VoteState {
   readonly term: number
   readonly votedFor: string | undefined
   /**
-   * Last leader that this member followed or voted for, so that a lease may rest on what it
-   * acknowledged; undefined for none. A higher term alone does not change it.
+   * Last leader that this member followed or voted for, and whose lease its replies may support;
+   * undefined for none. A higher term alone does not change it.
    */
   readonly leaseHolder?: LeaseHolder
   /**
-   * Whether this member may vote. A member that started with an empty folder may not until it was
-   * taken in as a learner: it could have forgotten a vote together with its disk.
+   * Whether this member may vote. A member that started with an empty folder may not vote until it was
+   * added as a learner: it may have lost a vote together with its disk.
    */
   readonly mayVote: boolean
   /**
-   * Index of the last change of the group that is known to be committed; undefined for none. While it
-   * is not known, an election must be won in the group before the change as well.
+   * Index of the last membership change known to be committed; undefined for none. Until a change is
+   * known to be committed, an election must also be won in the group before it.
    */
   readonly settledChange?: number
 }
 
-/** A change to the log, as written to the file. */
+/** Change of the log as stored in the file. */
 type LogChange =
   | { readonly kind: 'base'; readonly index: number; readonly term: number }
   | { readonly kind: 'ballot'; readonly ballot: VoteState }
   | { readonly kind: 'append'; readonly entries: readonly LogEntry[] }
   | { readonly kind: 'truncate'; readonly from: number }
 
-/** A durable log. */
+/** Durable log. Reads reflect a write at once, before it is on disk. */
 export interface LogStore {
   voteState(): VoteState
   snapshot(): Snapshot | undefined
   /** Index of the last entry, durable or not. */
   lastIndex(): number
   lastTerm(): number
-  /** Index of the last entry that is on the disk. */
+  /** Index of the last entry on disk. */
   durableIndex(): number
-  /** Index that the snapshot covers; entries at or below it are gone. */
+  /** Last index that the snapshot covers; entries up to it are no longer in the log. */
   baseIndex(): number
-  /** Term of an entry; undefined when it is not held. */
+  /** Term of an entry; undefined if the log does not contain it. */
   findTerm(index: number): number | undefined
-  /** Entries from `from` on, at most `limit`. */
+  /** Returns at most `limit` entries, starting at index `from`. */
   listEntries(from: number, limit: number): LogEntry[]
-  /** Saves term and vote; resolves once they are on the disk. */
-  saveVoteState(ballot: VoteState): Promise<void>
-  /** Appends entries; resolves once they are on the disk. */
+  /** Saves the vote state; resolves once it is on disk. */
+  saveVoteState(voteState: VoteState): Promise<void>
+  /** Appends entries; resolves once they are on disk. */
   append(entries: readonly LogEntry[]): Promise<void>
-  /** Removes the entries from `from` on. */
+  /** Removes all entries from index `from` on. */
   truncate(from: number): Promise<void>
-  /** Replaces everything up to a snapshot by it. */
+  /** Replaces all entries up to the index of a snapshot by the snapshot. */
   compact(snapshot: Snapshot): Promise<void>
   close(): Promise<void>
 }
@@ -84,7 +84,7 @@
 export interface LogStoreOptions {
   readonly folder: DataFolder
   readonly logger: Logger
-  /** Called when the disk failed: nothing may be acknowledged any more. */
+  /** Called when a write or sync failed: the member must not acknowledge anything any more. */
   readonly onFailure: (cause: unknown) => void
 }
 
@@ -145,17 +145,17 @@
   if (record) return record as Snapshot
   throw new SpoolgateError(
     'internal',
-    `${name} is missing or damaged; move the data folder away and let this member join anew`,
+    `${name} is missing or damaged; move the data folder away and let this member rejoin the group`,
   )
 }
 
-/** Opens the log of a data folder, cutting a torn tail. */
+/** Opens the log of a data folder and truncates a torn last record. */
 export async function openLogStore(options: LogStoreOptions): Promise<LogStore> {
   const { folder, logger, onFailure } = options
   const loaded = await loadLog(folder, logger)
   let snapshot = await loadSnapshot(folder, loaded.base.index)
   let { voteState, base } = loaded
-  /** Entries after the base; entry i stands at i - base.index - 1. */
+  /** Entries after the base; the entry with index i is at position i - base.index - 1. */
   let entries = loaded.entries
   let durableIndex = base.index + entries.length
   let file: AppendFile = await folder.openAppend(LOG_FILE, loaded.length)
@@ -169,7 +169,7 @@
 
   const recordDurable = (added: readonly LogEntry[]) => {
     const last = added.at(-1)
-    // An entry that was replaced while it was being written says nothing about its successor.
+    // An entry that was replaced during the write does not make its replacement durable.
     if (!last || findTerm(last.index) !== last.term) return
     durableIndex = Math.max(durableIndex, last.index)
   }
@@ -188,7 +188,7 @@
     try {
       while (pending.length > 0) await writeBatch()
     } catch (cause) {
-      // After a failed sync nobody can say what the disk holds: this member must stop.
+      // After a failed sync the content of the disk is unknown, so this member must stop.
       failure = cause
       pending = []
       onFailure(cause)
@@ -197,7 +197,7 @@
   }
   const enqueueWrite = (change: LogChange): Promise<void> =>
     new Promise((resolve) => {
-      // A waiter of a failed disk is never answered; the member has stopped by then.
+      // After a disk failure the promise never settles; the member has stopped by then.
       if (failure) return
       pending.push({ change, resolve })
       activeWrite ??= runWriter()
--- a/packages/control/src/log/records.ts
+++ b/packages/control/src/log/records.ts
@@ -1,6 +1,6 @@
 /**
- * Records of the log file: a header of length and checksums, then JSON. One record is one group
- * commit, synced before the next is begun, so only the last record of a file can be torn.
+ * Record format of the log file: a header with length and checksums, followed by JSON. Each record is one
+ * group commit and is synced before the next is written, so only the last record of a file can be torn.
  */
 import { SpoolgateError } from '@spoolgate/core'
 import crc32 from 'crc-32'
@@ -9,16 +9,15 @@
 const HEADER_BYTES = 12
 const LENGTH_BYTES = 4
 
-/** What a file held. */
+/** Result of scanning a record file. */
 export interface ScannedRecords {
   readonly payloads: readonly unknown[]
-  /** Bytes up to the end of the last whole record. */
+  /** Number of bytes up to the end of the last complete record. */
   readonly length: number
-  /** Bytes of a torn last record that must be cut. */
+  /** Number of bytes of a torn last record, to be truncated. */
   readonly tornBytes: number
 }
 
-/** Encodes one record. */
 export function encodeRecord(payload: unknown): Buffer {
   const body = Buffer.from(JSON.stringify(payload))
   const header = Buffer.alloc(HEADER_BYTES)
@@ -28,7 +27,7 @@
   return Buffer.concat([header, body])
 }
 
-/** Decodes the record at `offset`; undefined when there is no whole one. */
+/** Decodes the record at `offset`; undefined if it is incomplete or damaged. */
 function decodeRecord(data: Buffer, offset: number): { body: Buffer; end: number } | undefined {
   if (offset + HEADER_BYTES > data.length) return undefined
   const header = data.subarray(offset, offset + HEADER_BYTES)
@@ -51,8 +50,8 @@
 
 /**
  * Scans a file of records.
- * @throws SpoolgateError `internal` when a record in the middle is damaged: whole records follow
- * it, so it was synced once and cutting it would lose what was acknowledged.
+ * @throws SpoolgateError `internal` when a damaged record is followed by a complete one: it was synced,
+ * so truncating it would lose acknowledged data.
  */
 export function parseRecords(data: Buffer, file: string): ScannedRecords {
   const payloads: unknown[] = []
@@ -67,8 +66,8 @@
   if (nextRecord !== undefined) {
     throw new SpoolgateError(
       'internal',
-      `${file}: damaged at byte ${offset} with whole records from byte ${nextRecord}; ` +
-        'move the data folder away and let this member join anew from the others',
+      `${file}: damaged at byte ${offset} with complete records from byte ${nextRecord}; ` +
+        'move the data folder away and let this member rejoin the group to copy the log from the others',
     )
   }
   return { payloads, length: offset, tornBytes: data.length - offset }
--- a/packages/control/src/raft/appliedLog.ts
+++ b/packages/control/src/raft/appliedLog.ts
@@ -1,4 +1,4 @@
-/** The part of a member's log that is committed: applied to the machine, and compacted. */
+/** Applies the committed part of a member's log to the state machine and compacts it. */
 import type { Logger } from '@spoolgate/core'
 import type { LogStore, Snapshot } from '../log/logStore.js'
 import { isGroupCommand, type Membership, type SavedState } from './membership.js'
@@ -12,25 +12,25 @@
   readonly membership: Membership
   readonly proposals: Proposals
   readonly logger: Logger
-  /** Entries between snapshots. */
+  /** Number of log entries between snapshots. */
   readonly snapshotEvery: number
 }
 
 /** See {@link createAppliedLog}. */
 export interface AppliedLog {
   commitIndex(): number
-  /** Term of the last entry that was applied. */
+  /** Term of the last applied entry. */
   appliedTerm(): number | undefined
   /**
-   * Notes that the log is committed up to an index, and applies it; resolves once it is on the disk
-   * which change of the group is committed by that.
+   * Advances the commit index and applies the entries up to it. Resolves once the membership change that
+   * this commits is recorded on disk.
    */
   advance(next: number): Promise<void>
-  /** Puts a snapshot in the place of all that it covers. */
+  /** Replaces state and log up to the index of a snapshot by the snapshot. */
   install(snapshot: Snapshot): Promise<void>
 }
 
-/** Loads the snapshot of the store, if there is one, into machine and membership. */
+/** Creates the applied log and restores state machine and membership from the stored snapshot, if any. */
 export function createAppliedLog(options: AppliedLogOptions): AppliedLog {
   const { store, machine, membership, proposals, logger } = options
   let commitIndex = store.baseIndex()
--- a/packages/control/src/raft/electionReport.ts
+++ b/packages/control/src/raft/electionReport.ts
@@ -1,7 +1,7 @@
 /**
- * What one member reports of elections that found no leader: too few voters answer, a lease or a log
- * holds them back, a voter's disk is lost, or nobody listens. Bounded lines, and the time without a
- * leader as a metric.
+ * Reports why elections fail: too few voters reply, a lease or a longer log prevents votes, a voter's
+ * disk is lost, or the members do not answer. Log lines are rate-limited; the time without a leader is
+ * recorded as a metric.
  */
 import type { Histogram, Logger, Metrics, TimerService } from '@spoolgate/core'
 import type { MemberKind, MemberMap } from './messages.js'
@@ -14,34 +14,34 @@
   readonly metrics?: Metrics
 }
 
-/** A round of votes that was not won. */
+/** A vote round that was not won. */
 export interface FailedRound {
   readonly term: number
   readonly isPreVote: boolean
-  /** Group whose voters were asked. */
+  /** Members at the time of the round. */
   readonly members: MemberMap
-  /** By member: `granted`, why not, `lost`, or `silent` with the reason. */
+  /** By member: `granted`, the refusal, `lost`, or `silent` with the reason. */
   readonly answers: Readonly<Record<string, string>>
 }
 
 /** See {@link createElectionReport}. */
 export interface ElectionReport {
-  /** Notes a round of votes that was not won. */
+  /** Logs a vote round that was not won. */
   recordFailedRound(round: FailedRound): void
-  /** Notes that a member without a leader may not stand for election itself. */
+  /** Logs that this member knows no leader but may not be a candidate. */
   recordIneligible(kind: MemberKind | undefined, mayVote: boolean): void
-  /** Notes, once for each voter, that its address is answered under another name. */
+  /** Logs that another instance replied at a voter's address; the caller does so once per voter. */
   recordLostVoter(voter: string, url: string, found: string): void
-  /** Notes the leader that is known now; undefined for none. */
+  /** Records the currently known leader; undefined for none. */
   recordLeader(leader: string | undefined): void
 }
 
-/** Least time between two lines of the same content, in ms: a line a second can be read along. */
+/** Minimum interval between lines of the same content, in ms: one line a second stays readable. */
 const REPEATED_LINE_INTERVAL_MS = 1_000
-/** Least time between two lines of different content, in ms: a tenth of that, for what alternates. */
+/** Minimum interval between lines of different content, in ms: a tenth of the above, for alternating content. */
 const CHANGED_LINE_INTERVAL_MS = 100
 
-/** Creates the report of a member that knows no leader. */
+/** Creates the report of a member that does not know a leader yet. */
 export function createElectionReport(options: ElectionReportOptions): ElectionReport {
   const { logger, timers } = options
   const leaderlessHistogram: Histogram | undefined = options.metrics?.histogram(
@@ -65,7 +65,7 @@
       const kinds = Object.fromEntries(
         Object.entries(members).map(([name, { kind }]) => [name, kind]),
       )
-      // The term is left out: it may rise from round to round and nothing else change.
+      // The term is not part of the content: it may rise each round while nothing else changes.
       if (!isDue(JSON.stringify([isPreVote, answers, kinds]))) return
       const fields = { term, isPreVote, answers, kinds, leaderlessMs: leaderlessMs() }
       logger.warn('raft.notElected', fields)
--- a/packages/control/src/raft/group.ts
+++ b/packages/control/src/raft/group.ts
@@ -1,26 +1,26 @@
-/** Majorities of a group. */
+/** Quorums of a group. */
 import type { MemberInfo, MemberMap } from './messages.js'
 
-/** Lists the names of the voters. */
 export function listVoters(members: MemberMap): string[] {
   return Object.keys(members).filter((name) => members[name].kind === 'voter')
 }
 
-/** Lists all members but one. */
+/** Lists all members except the named one. */
 export function listOthers(members: MemberMap, name: string): [string, MemberInfo][] {
   return Object.entries(members).filter(([other]) => other !== name)
 }
 
-/** Counts the voters that make a majority. */
+/** Number of voters that form a majority. */
 export function countMajority(members: MemberMap): number {
   return Math.floor(listVoters(members).length / 2) + 1
 }
 
 /**
- * Counts the voters that must grant their vote where the disks of some are proven lost. Every majority
- * that has acknowledged anything, holds a lease or has elected keeps so many of the rest that these
- * meet it: of an even group that is half, of an odd one a majority as ever. Where as many are lost as
- * make a majority, all that hold an entry may be gone.
+ * Number of votes that win an election when the disks of some voters are proven lost. The result is
+ * the smallest number of voters that intersects every majority (n - majority + 1), so the winners
+ * include a voter of each majority that acknowledged an entry, supports a lease or elected a leader:
+ * half of an even group, a majority of an odd one. Lost voters do not vote. If a majority is lost, every
+ * copy of a committed entry may be gone, so the normal majority is required.
  */
 export function countElectionQuorum(members: MemberMap, lost: ReadonlySet<string>): number {
   const voters = listVoters(members)
@@ -30,14 +30,14 @@
   return isProving ? voters.length - majority + 1 : majority
 }
 
-/** Finds the highest value that a majority of the voters has reached. */
+/** Returns the highest value that a majority of the voters has reached. */
 export function findMajorityValue(members: MemberMap, findValue: (name: string) => number): number {
   const values = listVoters(members).map(findValue)
   values.sort((a, b) => b - a)
   return values[countMajority(members) - 1] ?? -Infinity
 }
 
-/** Counts the members that two groups do not have in common, in name and kind. */
+/** Number of members that were added, removed or changed in kind between two groups. */
 export function countChangedMembers(a: MemberMap, b: MemberMap): number {
   const names = new Set([...Object.keys(a), ...Object.keys(b)])
   return [...names].filter((name) => a[name]?.kind !== b[name]?.kind).length
--- a/packages/control/src/raft/leaseGrant.ts
+++ b/packages/control/src/raft/leaseGrant.ts
@@ -1,9 +1,10 @@
 /**
- * What a member has promised to the leader that it follows: for an election timeout after it received
- * from it, it helps nobody to depose it. Leases rest on this. A process that restarted does not know
- * when that was and counts from its own start, unless the leader that it followed says that
- * it no longer leads: after a loss of all instances the first leader is then elected as soon as a
- * majority listens, and not an election timeout later.
+ * Lease that a follower grants to its leader: for one election timeout after the last message from the
+ * leader, the follower votes for nobody else. The leader's lease relies on this.
+ *
+ * A restarted process does not know when it last received from its leader, so it counts from its own
+ * start, unless the former leader reports that it no longer leads. After a restart of all instances a
+ * leader is therefore elected as soon as a majority replies, instead of an election timeout later.
  */
 import type { RandomSource, TimerService } from '@spoolgate/core'
 import type { VoteState, LeaseHolder } from '../log/logStore.js'
@@ -14,36 +15,36 @@
 export interface LeaseGrantOptions {
   readonly timers: TimerService
   readonly random: RandomSource
-  /** Shortest election timeout, in ms. */
+  /** Minimum election timeout, in ms. */
   readonly electionMs: number
-  /** When this process began, in ms of the monotonic clock. */
+  /** Start of this process, in ms of the monotonic clock. */
   readonly startedAt: number
 }
 
-/** The promise; see {@link createLeaseGrant}. */
+/** See {@link createLeaseGrant}. */
 export interface LeaseGrant {
-  /** Records a message of a leader. */
+  /** Records that a message of the leader arrived. */
   recordContact(): void
-  /** Whether a leader's message came in this life so lately that it counts as alive. */
+  /** Whether this process received from a leader within the election timeout. */
   isLeaderAlive(): boolean
-  /** Finds the leader of an earlier life whose lease may still rest on this member. */
-  findLeaseHolder(ballot: VoteState, endedTerms: EndedTerms): LeaseHolder | undefined
-  /** Draws the time until this member stands for election, in ms. */
+  /** Finds the leader that this member followed before its restart, if that leader's lease may still be valid. */
+  findLeaseHolder(voteState: VoteState, endedTerms: EndedTerms): LeaseHolder | undefined
+  /** Draws the time until this member starts an election, in ms. */
   drawElectionTimeout(): number
 }
 
 /**
- * Least and most parts of the election timeout between two tries of a member that knows no
- * leader in this life. Its pre-votes raise no term and depose nobody, so that it can ask again while
- * the others are still starting.
+ * Minimum and maximum delay between elections of a process that has not received from a leader yet, as
+ * fractions of the election timeout. Its pre-votes neither raise the term nor depose a leader, so it can
+ * retry often while other members are still starting.
  */
 const STARTUP_RETRY_RATIOS = [0.06, 0.2] as const
-/** Election timeouts after the start from which on such a member asks no more often than others. */
+/** Time after the start in which these short delays apply, in election timeouts. */
 const STARTUP_PERIOD_TIMEOUTS = 6
-/** Holder in place of one that an older version of this program did not write down. */
+/** Assumed when an older version of this program stored a term without a lease holder. */
 const UNKNOWN_HOLDER: LeaseHolder = { name: '', term: Number.MAX_SAFE_INTEGER }
 
-/** Creates the promise of a process that knows no leader. */
+/** Creates the lease grant of a process that has not received from a leader yet. */
 export function createLeaseGrant(options: LeaseGrantOptions): LeaseGrant {
   const { timers, random, electionMs, startedAt } = options
   let receivedAt: number | undefined
@@ -57,7 +58,7 @@
     isLeaderAlive: () => receivedAt !== undefined && timers.now() - receivedAt < electionMs,
     findLeaseHolder: ({ leaseHolder, term }, endedTerms) => {
       const isExpired = receivedAt !== undefined || timers.now() - startedAt >= electionMs
-      // Without any term this member has never followed anybody.
+      // In term 0 this member has never followed a leader.
       if (isExpired || term === 0) return undefined
       const holder = leaseHolder ?? UNKNOWN_HOLDER
       return isLeaseEnded(holder, endedTerms) ? undefined : holder
--- a/packages/control/src/raft/member.ts
+++ b/packages/control/src/raft/member.ts
@@ -1,7 +1,7 @@
 /**
- * One member of the control group: elections with pre-vote, replication, a leader lease on the
- * monotonic clock, snapshots, and changes of membership one member at a time. After Ongaro's
- * dissertation "Consensus: Bridging Theory and Practice" (2014), sections 3, 4, 6 and 9.6.
+ * Raft member of the control group: elections with pre-vote, replication, a time-based leader lease,
+ * snapshots, and single-member membership changes. Based on Ongaro's dissertation "Consensus: Bridging
+ * Theory and Practice" (2014), sections 3, 4, 6 and 9.6.
  */
 import { SpoolgateError } from '@spoolgate/core'
 import { Subject, type Subscription } from 'rxjs'
@@ -26,7 +26,7 @@
 import type { RaftMember, RaftMemberOptions, RaftRole } from './types.js'
 import { runVoteRound } from './votes.js'
 
-/** Part of the election timeout for which an acknowledged heartbeat gives a lease. */
+/** Lease duration after an acknowledged heartbeat, as a fraction of the election timeout. */
 const LEASE_RATIO = 0.9
 
 /** Creates a member and starts its election timer. */
@@ -44,14 +44,14 @@
     electionMs: options.electionMs,
     startedAt: options.startedAt ?? timers.now(),
   })
-  /** Term for which this member is asking for real votes: it may still win it. */
+  /** Term of the election that this member currently runs and may still win. */
   let campaignTerm: number | undefined
-  /** Voters whose addresses were answered under another name: names of disks that never return. */
+  /** Voters whose disks are lost: another instance replied at their addresses. */
   const lostVoters = new Set<string>()
   let electionTimer: Subscription | undefined
   let replicator: Replicator | undefined
   let isClosed = false
-  /** Followers take one message at a time, so that log changes never overlap. */
+  /** Processes one message at a time, so that log changes never overlap. */
   let messageQueue: Promise<unknown> = Promise.resolve()
 
   const term = () => store.voteState().term
@@ -82,7 +82,7 @@
     electionTimer = timers.after(leaseGrant.drawElectionTimeout()).subscribe(() => {
       startElectionTimer()
       if (role !== 'leader') {
-        // Learners stand in no election, and must see all the same that their leader is gone.
+        // Learners do not run elections, but must also notice that their leader is gone.
         followLeader(undefined, undefined)
       }
       void runElection()
@@ -132,7 +132,7 @@
       onCommit: (index) => {
         const isChanging = membership.lastChangeIndex() > commitIndex()
         void applied.advance(index)
-        // Until a new voter knows that it is one, the loss of the others would leave it no vote.
+        // Until a new voter knows that its change is committed, it cannot vote if the other voters are lost.
         if (isChanging && membership.lastChangeIndex() <= index) replicator?.sendNow()
       },
       onHigherTerm: (higherTerm) => void adoptTerm(higherTerm),
@@ -144,7 +144,7 @@
   }
 
   const askForVotes = async (isPreVote: boolean, voteTerm: number, endedTerms: EndedTerms) => {
-    // A member stands for election only once its own promise no longer keeps it from voting.
+    // A member does not vote for itself while the lease that it granted to a leader may be valid.
     const heldBackBy = isPreVote ? findLeaseHolder(endedTerms) : undefined
     const groups = membership.listElectionGroups(commitIndex())
     const outcome = await runVoteRound({
@@ -183,7 +183,7 @@
     }
     return outcome
   }
-  /** A vote for a member may become its lease, as an acknowledged heartbeat does. */
+  /** A granted vote can start the candidate's lease, as an acknowledged heartbeat does. */
   const saveVote = (voteTerm: number, candidate: string) =>
     saveVoteState({
       term: voteTerm,
@@ -203,7 +203,7 @@
     const startTerm = term()
     role = 'candidate'
     followLeader(undefined, undefined)
-    // An earlier campaign that has not been won by now is given up, so that nobody waits for it.
+    // Abandons an earlier campaign that was not won, so that other members need not wait for it.
     campaignTerm = undefined
     const { isWon, endedTerms } = await askForVotes(true, startTerm + 1, {})
     if (!isWon || !isCandidateOf(startTerm)) return
@@ -221,17 +221,17 @@
   const hasLiveLeader = () => (role === 'leader' ? hasLease() : leaseGrant.isLeaderAlive())
   const findLeaseHolder = (endedTerms: EndedTerms) =>
     leaseGrant.findLeaseHolder(store.voteState(), { ...endedTerms, [name]: findEndedTerm() })
-  /** Highest term that this member certainly does not lead, now or later. */
+  /** Highest term that this member does not lead and never will. */
   const findEndedTerm = () => (role === 'leader' || isCampaigning() ? term() - 1 : term())
   const hasLease = () => {
     if (role !== 'leader' || !replicator) return false
-    // The others' clocks went on while this machine was suspended; they may have another leader.
+    // This clock includes suspended time, during which the others may have elected another leader.
     const now = timers.promiseNow()
     return now < replicator.leaseConfirmedAt() + options.electionMs * LEASE_RATIO
   }
 
   const findRefusal = (request: VoteRequest): VoteRefusal | undefined => {
-    // A member that still receives from its leader does not help to depose it; the lease rests on this.
+    // A member that still receives from its leader votes for nobody else; the lease relies on this.
     if (hasLiveLeader()) return 'leaderAlive'
     if (!store.voteState().mayVote) return 'mayNotVote'
     if (request.term < term()) return 'oldTerm'
@@ -261,7 +261,7 @@
     return reply()
   }
 
-  /** Accepts the sender as leader; false when its term is over. */
+  /** Accepts the sender as leader; returns false if its term is outdated. */
   const acceptLeader = async (from: { term: number; leader: string; leaderUrl: string }) => {
     if (from.term < term()) return false
     await Promise.all([adoptTerm(from.term), saveLeaseHolder(from.leader, from.term)])
@@ -269,7 +269,7 @@
     becomeFollower(from.leader, from.leaderUrl)
     return true
   }
-  /** Whom this member follows must be on the disk before a lease can rest on its answer. */
+  /** The followed leader must be on disk before a reply can support its lease. */
   const saveLeaseHolder = async (leaderName: string, leaderTerm: number) => {
     const known = store.voteState().leaseHolder
     if (known?.name === leaderName && known.term === leaderTerm) return
@@ -303,7 +303,7 @@
     await appendEntries(request)
     const matched = previousIndex + entries.length
     await applied.advance(Math.min(request.commitIndex, matched))
-    // What the sender committed in its own term covers every change of the group before it.
+    // An entry committed in the sender's own term implies that all earlier membership changes are committed.
     const isCaughtUp = matched >= request.commitIndex
     const isCommittedInTerm = store.findTerm(request.commitIndex) === request.term
     if (isCaughtUp && isCommittedInTerm) await membership.enableVoting()
@@ -333,7 +333,7 @@
   }
 
   startElectionTimer()
-  // A group of one has nobody to wait for.
+  // A single-voter group need not wait for the election timeout.
   if (membership.isVoter() && countMajority(membership.members()) === 1) void runElection()
 
   return {
--- a/packages/control/src/raft/membership.ts
+++ b/packages/control/src/raft/membership.ts
@@ -1,19 +1,19 @@
-/** Who belongs to the control group, as a member's log and snapshot say it. */
+/** Membership of the control group according to a member's log and snapshot. */
 import type { LogEntry, LogStore } from '../log/logStore.js'
 import { listVoters } from './group.js'
 import type { MemberMap } from './messages.js'
 
-/** Entries that the group itself appends. */
+/** Log commands of the group itself, not of the state machine. */
 export type GroupCommand =
   | { readonly group: 'noop' }
   | {
       readonly group: 'members'
       readonly members: MemberMap
-      /** Voters of the group before whose disks were lost; they are not asked any more. */
+      /** Voters of the previous group whose disks were lost; they are not asked for votes any more. */
       readonly lostVoters?: readonly string[]
     }
 
-/** What a snapshot holds. */
+/** Content of a snapshot. */
 export interface SavedState {
   readonly machine: unknown
   readonly members: MemberMap
@@ -23,48 +23,48 @@
 export interface MembershipOptions {
   readonly name: string
   readonly store: LogStore
-  /** Group as it was founded. */
+  /** Initial members of the group. */
   readonly founders: MemberMap
 }
 
-/** The group as one member knows it. */
+/** Current and uncommitted memberships as one member knows them. */
 export interface Membership {
   members(): MemberMap
   isVoter(): boolean
   /**
-   * Groups of which each must hold a majority before an entry counts as committed or a lease as held.
-   * While a change of the group is in progress that is the one before as well: whoever is elected by
-   * half of it (see {@link countElectionQuorum}) then finds the change.
+   * Groups in each of which a majority must acknowledge before an entry is committed or a lease is held.
+   * While a membership change is uncommitted, this includes the group before it: a leader elected by half
+   * of that group (see {@link countElectionQuorum}) is then sure to find the change.
    */
   listCommitGroups(commitIndex: number): readonly MemberMap[]
-  /** The same groups with the voters whose disks are lost; an election must be won in each. */
+  /** The same groups including the voters whose disks are lost; an election must be won in each. */
   listElectionGroups(commitIndex: number): readonly MemberMap[]
-  /** Voters that the log names as lost. */
+  /** Voters that the log records as lost. */
   listLostVoters(): readonly string[]
-  /** Finds the group that was in force at an index. */
+  /** Finds the members as of an index. */
   findMembersAt(index: number): MemberMap
   /**
-   * Notes that the log is committed up to an index, for elections after a restart; resolves once that
-   * is on the disk.
+   * Records on disk which membership change is committed, for elections after a restart; resolves once
+   * it is written.
    */
   recordCommitted(commitIndex: number): Promise<void>
   /**
-   * Lets this member vote where the newest group has it as a learner. Only for a member that holds all
-   * that was committed: an older group in the log may have had it as a learner before its disk was
-   * emptied.
+   * Allows this member to vote if it is a learner in the latest group. Call it only when the member holds
+   * all committed entries: in an older group of the log it may have been a learner before its disk was
+   * lost.
    */
   enableVoting(): Promise<void>
-  /** Index of the entry that last changed the group; 0 when the log holds none. */
+  /** Index of the last membership change in the log; 0 if there is none. */
   lastChangeIndex(): number
-  /** Builds the first entry of a leader that was elected without the voters whose disks were lost. */
+  /** Builds the first command of a new leader's term, which removes the voters whose disks were lost. */
   buildFirstCommand(lostVoters: readonly string[]): GroupCommand
-  /** Notes an entry that was appended: changes of the group count from then on. */
+  /** Handles an appended entry: a membership change applies from its entry on, committed or not. */
   observe(entry: LogEntry): void
-  /** Reads snapshot and log again, after entries were removed or replaced. */
+  /** Rebuilds the membership from snapshot and log after entries were removed or replaced. */
   reload(): void
 }
 
-/** Whether a command is one of the group itself, not one for the machine. */
+/** Whether a command is one of the group itself, not one for the state machine. */
 export function isGroupCommand(command: unknown): command is GroupCommand {
   return typeof command === 'object' && command !== null && 'group' in command
 }
@@ -73,20 +73,20 @@
   return Object.fromEntries(Object.entries(members).filter(([name]) => !names.includes(name)))
 }
 
-/** A group with the index from which on it counts. */
+/** A membership and the index from which it applies. */
 interface GroupVersion {
   readonly index: number
   readonly members: MemberMap
-  /** Voters of the groups before whose disks were lost. */
+  /** Voters of earlier groups whose disks were lost. */
   readonly lostVoters: readonly string[]
 }
 
-/** Creates the membership; {@link Membership.reload} must follow once the vote is settled. */
+/** Creates the membership; call {@link Membership.reload} once the stored vote state is final. */
 export function createMembership(options: MembershipOptions): Membership {
   const { name, store } = options
-  /** The groups that the log holds, oldest first. */
+  /** The memberships in the log, oldest first. */
   let groups: GroupVersion[] = [{ index: 0, members: {}, lostVoters: [] }]
-  /** Index of the last change that a later one proves to be committed. */
+  /** Index of the last membership change that must be committed because a later one was started. */
   let impliedCommittedIndex = 0
 
   const latest = () => groups[groups.length - 1]
@@ -99,12 +99,12 @@
       store.voteState().settledChange ?? 0,
     )
     const first = groups.findLastIndex(({ index }) => index <= committedIndex)
-    // An instance that was taken in does not know the group before the first change in its log.
+    // An instance that joined later does not know the group before the first change in its log.
     return groups.slice(Math.max(first, 0)).filter(({ members }) => listVoters(members).length > 0)
   }
   const observe = ({ command, index }: LogEntry) => {
     if (!isGroupCommand(command) || command.group !== 'members') return
-    // A change is begun only once the one before is committed, but where disks were lost.
+    // A change starts only after the previous one is committed, except when it removes lost voters.
     if (!command.lostVoters) impliedCommittedIndex = lastChangeIndex()
     groups.push({ index, members: command.members, lostVoters: command.lostVoters ?? [] })
   }
--- a/packages/control/src/raft/messages.ts
+++ b/packages/control/src/raft/messages.ts
@@ -1,7 +1,7 @@
-/** Messages between the members of the control group. */
+/** Messages between the members of the control group. Field names are part of the protocol. */
 import type { LeaseHolder, LogEntry, Snapshot } from '../log/logStore.js'
 
-/** What a member may do: learners follow the log and neither vote nor count for a majority. */
+/** Kind of a member: learners replicate the log but neither vote nor count towards a majority. */
 export type MemberKind = 'voter' | 'learner'
 
 /** One member of the group. */
@@ -10,51 +10,51 @@
   readonly kind: MemberKind
 }
 
-/** The group by member name. */
+/** Members of the group by name. */
 export type MemberMap = Readonly<Record<string, MemberInfo>>
 
-/** By member, the highest term in which it said that it does not lead and never will. */
+/** By member name, the highest term that the member reported it does not lead and never will. */
 export type EndedTerms = Readonly<Record<string, number>>
 
-/** Asks for a vote; a pre-vote asks whether a real one would be worth while. */
+/** Requests a vote; a pre-vote checks whether an election could be won, without raising the term. */
 export interface VoteRequest {
   readonly isPreVote: boolean
   readonly term: number
   readonly candidate: string
   readonly lastIndex: number
   readonly lastTerm: number
-  /** What the members answered to the pre-vote; empty in a pre-vote. */
+  /** Ended terms from the replies to the pre-vote; empty in a pre-vote itself. */
   readonly endedTerms: EndedTerms
 }
 
-/** Why a vote is not granted. */
+/** Why a vote was not granted. */
 export type VoteRefusal =
-  /** A leader's message came so lately that it counts as alive. */
+  /** The voter received from a leader within the election timeout. */
   | 'leaderAlive'
-  /** An earlier leader's lease may still hold; see {@link VoteReply.heldBackBy}. */
+  /** The lease of an earlier leader may still be valid; see {@link VoteReply.heldBackBy}. */
   | 'heldBack'
-  /** The voter started with an empty disk and was not taken in since. */
+  /** The voter started with an empty disk and has not been added as a learner since. */
   | 'mayNotVote'
   | 'oldTerm'
-  /** The candidate's log ends before the voter's. */
+  /** The candidate's log is less up to date than the voter's. */
   | 'behind'
-  /** The vote of this term was given to another candidate. */
+  /** The voter already voted for another candidate in this term. */
   | 'votedOther'
 
 export interface VoteReply {
-  /** Who answers: an instance whose disk was lost has another name than the member it was. */
+  /** Name of the replying instance. An instance that lost its disk replies under a new name, not that of the member. */
   readonly voter: string
   readonly term: number
   readonly isGranted: boolean
-  /** Highest term in which the member that answers does not lead and never will. */
+  /** Highest term that the replying member does not lead and never will. */
   readonly endedTerm: number
-  /** Leader whose lease is all that keeps the member, which has restarted, from granting. */
+  /** Leader whose possible lease is the only reason why this restarted member does not grant the vote. */
   readonly heldBackBy?: LeaseHolder
-  /** Undefined where the vote is granted, and from older versions of this program. */
+  /** Undefined when the vote is granted, and in replies of older versions of this program. */
   readonly refusal?: VoteRefusal
 }
 
-/** Hands entries to a follower; without entries it is a heartbeat. */
+/** Sends entries to a follower (Raft's AppendEntries); a heartbeat if there are none. */
 export interface AppendRequest {
   readonly term: number
   readonly leader: string
@@ -68,11 +68,11 @@
 export interface AppendReply {
   readonly term: number
   readonly isAccepted: boolean
-  /** Last index known to match when accepted; otherwise where the leader should try next. */
+  /** Last matching index if accepted; otherwise the next index that the leader should try. */
   readonly index: number
 }
 
-/** Replaces a follower's log by a snapshot. */
+/** Replaces a follower's log by a snapshot (Raft's InstallSnapshot). */
 export interface InstallRequest {
   readonly term: number
   readonly leader: string
@@ -84,17 +84,16 @@
   readonly term: number
 }
 
-/** The messages by name, each with its reply. */
+/** Request and reply types by message name. */
 export interface RaftMessages {
   vote: { request: VoteRequest; reply: VoteReply }
   append: { request: AppendRequest; reply: AppendReply }
   install: { request: InstallRequest; reply: InstallReply }
 }
 
-/** Name of a message. */
 export type RaftMessageName = keyof RaftMessages
 
-/** Carries messages to other members; rejects when there is no answer. */
+/** Sends messages to other members; rejects when no reply arrives. */
 export interface RaftTransport {
   send<Name extends RaftMessageName>(
     to: string,
--- a/packages/control/src/raft/proposals.ts
+++ b/packages/control/src/raft/proposals.ts
@@ -1,17 +1,17 @@
-/** Commands that a leader has appended and whose senders wait for the result. */
+/** Pending proposals: commands that a leader has appended and whose callers wait for the result. */
 import { SpoolgateError } from '@spoolgate/core'
 import type { LogEntry } from '../log/logStore.js'
 
-/** Waiting proposals by log index. */
+/** Pending proposals by log index. */
 export interface Proposals {
   /**
-   * Waits for an entry to be applied.
-   * @throws SpoolgateError `controlUnavailable` when leadership is lost first.
+   * Resolves with the result of an entry once it is applied.
+   * @throws SpoolgateError `controlUnavailable` when leadership is lost before that.
    */
   add(entry: LogEntry): Promise<unknown>
-  /** Hands the result of an applied entry to whoever waits for it. */
+  /** Resolves the proposal of an applied entry. */
   finish(entry: LogEntry, result: unknown): void
-  /** Tells all who wait that the outcome is not known. */
+  /** Rejects all pending proposals because their outcome is unknown. */
   failAll(): void
 }
 
@@ -21,7 +21,7 @@
   reject(error: SpoolgateError): void
 }
 
-/** Creates an empty table. */
+/** Creates an empty set of pending proposals. */
 export function createProposals(): Proposals {
   const waiting = new Map<number, Proposal>()
   return {
--- a/packages/control/src/raft/replicator.ts
+++ b/packages/control/src/raft/replicator.ts
@@ -1,6 +1,6 @@
 /**
- * Replication by a leader: one task for each other member, which hands over entries, or a
- * heartbeat when there are none, and follows what the member acknowledges.
+ * Log replication by a leader: one task per other member sends entries, or heartbeats when there are
+ * none, and tracks what the member acknowledges.
  */
 import { type TimerService, waitFor } from '@spoolgate/core'
 import type { Subscription } from 'rxjs'
@@ -13,48 +13,48 @@
 export interface ReplicatorOptions {
   readonly name: string
   readonly url: string
-  /** Term of this leadership. */
+  /** Term of this leader. */
   readonly term: number
   readonly store: LogStore
   readonly transport: RaftTransport
   readonly timers: TimerService
   readonly heartbeatMs: number
-  /** Time without a majority after which leadership is given up, in ms. */
+  /** Time without acknowledgements of a majority after which the leader steps down, in ms. */
   readonly quorumTimeoutMs: number
   readonly listMembers: () => MemberMap
-  /** Groups of which each must hold a majority before an entry is committed or a lease held. */
+  /** Groups in each of which a majority must acknowledge an entry or a lease. */
   readonly listCommitGroups: () => readonly MemberMap[]
   readonly commitIndex: () => number
   readonly onCommit: (index: number) => void
   readonly onHigherTerm: (term: number) => void
-  /** Called when no majority has answered for a while. */
+  /** Called when no majority has replied for {@link quorumTimeoutMs}. */
   readonly onQuorumLost: () => void
 }
 
-/** Replication of one leadership. */
+/** Replication during one leader's term. */
 export interface Replicator {
-  /** Notes that the leader's own disk holds more. */
+  /** Advances the commit index after the leader's own log became durable further. */
   recordLocalAppend(): void
-  /** Sends new entries without waiting for the next heartbeat. */
+  /** Sends pending entries and the commit index without waiting for the next heartbeat. */
   sendNow(): void
-  /** Latest instant at which a majority was known to follow, in ms of the monotonic clock. */
+  /** Send time of the latest messages that a majority acknowledged, in ms of the monotonic clock. */
   confirmedAt(): number
-  /** The same by the clock for promises; the lease rests on it. */
+  /** The same on the clock that includes the time while the machine is suspended; the lease uses it. */
   leaseConfirmedAt(): number
   listFollowers(): FollowerProgress[]
   close(): void
 }
 
-/** Entries in one message. */
+/** Maximum number of entries in one message. */
 const MAX_ENTRIES = 512
 /**
- * Bytes of entries in one message, if there is more than one: 0.3 s on the slowest link of the users'
- * deployments, 7 Mbit/s, within the time limit of a message of 0.5 s. A message that takes longer is
- * sent again whole, and its follower never catches up.
+ * Maximum bytes of entries in one message, unless a single entry is larger: 0.3 s on the slowest link in
+ * use, 7 Mbit/s, within the message timeout of 0.5 s. A message that times out is sent again in full, so
+ * with larger messages a follower would never catch up.
  */
 const MAX_BYTES = 256 * 1024
 
-/** The first entries that one message may carry; one at least. */
+/** Returns the first entries that fit into one message, at least one. */
 function listBatch(entries: readonly LogEntry[]): LogEntry[] {
   let bytes = 0
   const end = entries.findIndex((entry, index) => {
@@ -67,11 +67,11 @@
 interface Peer {
   nextIndex: number
   matchIndex: number
-  /** When the last acknowledged message was sent. */
+  /** Send time of the last acknowledged message. */
   confirmedAt: number
-  /** The same by the clock for promises. */
+  /** The same on the clock that includes suspended time. */
   leaseConfirmedAt: number
-  /** Ends the wait for the next heartbeat. */
+  /** Aborts the wait for the next heartbeat. */
   wakeController: AbortController
 }
 
@@ -90,11 +90,11 @@
       .listCommitGroups()
       .map((members) => findMajorityValue(members, findMatch))
     const index = Math.min(...reached)
-    // Only an entry of its own term may be counted (Raft, figure 8).
+    // A leader commits only entries of its own term by counting replicas (Raft paper, figure 8).
     if (index > options.commitIndex() && store.findTerm(index) === term) options.onCommit(index)
   }
-  // A lease rests on all groups that decide, as a commit does: while the group changes, whoever is
-  // elected by half of the group before the change need not meet a majority of the one after it.
+  // Like a commit, a lease needs a majority in each commit group: during a membership change, the voters
+  // that elect a leader by half of the old group need not intersect a majority of the new one.
   const findQuorumInstant = (now: number, findConfirmed: (peer: Peer) => number) => {
     const findInstant = (member: string) => {
       const peer = peers.get(member)
--- a/packages/control/src/raft/types.ts
+++ b/packages/control/src/raft/types.ts
@@ -1,4 +1,4 @@
-/** Types of a member of the control group, for those who create one and those who use it. */
+/** Public types of a Raft member of the control group. */
 import type { Invariants, Logger, Metrics, RandomSource, TimerService } from '@spoolgate/core'
 import type { Observable } from 'rxjs'
 import type { LogStore } from '../log/logStore.js'
@@ -13,11 +13,13 @@
   VoteRequest,
 } from './messages.js'
 
-/** The machine that the log drives. */
+/** State machine that the replicated log drives. */
 export interface StateMachine {
-  /** Applies a committed command and returns its result; must depend on nothing else. */
+  /** Applies a committed command and returns its result, which may depend only on state and arguments. */
   apply(command: unknown, index: number): unknown
+  /** Returns the state for a snapshot. */
   save(): unknown
+  /** Replaces the state by that of a snapshot. */
   load(state: unknown): void
 }
 
@@ -25,9 +27,9 @@
 export interface RaftMemberOptions {
   readonly name: string
   readonly url: string
-  /** Group as it was founded. */
+  /** Initial members of the group. */
   readonly founders: MemberMap
-  /** Whether an empty data folder founds the group, instead of waiting to be taken in. */
+  /** Whether a member with an empty data folder bootstraps the group instead of waiting to be added to it. */
   readonly isFounding: boolean
   readonly store: LogStore
   readonly machine: StateMachine
@@ -37,19 +39,19 @@
   readonly logger: Logger
   readonly invariants: Invariants
   /**
-   * Takes the time without a leader.
-   * @default undefined, none
+   * Receives the `leaderless_ms` histogram.
+   * @default undefined, no metrics
    */
   readonly metrics?: Metrics
-  /** Shortest election timeout, in ms; the longest is twice that. */
+  /** Minimum election timeout, in ms; the maximum is twice that. */
   readonly electionMs: number
-  /** Period of heartbeats, in ms. */
+  /** Heartbeat interval, in ms. */
   readonly heartbeatMs: number
-  /** Entries between snapshots. */
+  /** Number of log entries between snapshots. */
   readonly snapshotEvery: number
   /**
-   * When this process began, in ms of the monotonic clock: no leader can have received from this member
-   * since without the member knowing.
+   * Start of this process, in ms of the monotonic clock. Since then no leader can have
+   * received a message from this member that it does not remember.
    * @default now
    */
   readonly startedAt?: number
@@ -58,7 +60,7 @@
 /** Role of a member. */
 export type RaftRole = 'follower' | 'candidate' | 'leader'
 
-/** What a member shows of itself. */
+/** Observable state of a member. */
 export interface RaftStatus {
   readonly name: string
   readonly role: RaftRole
@@ -71,36 +73,39 @@
   readonly members: MemberMap
 }
 
-/** What a leader knows of one follower. */
+/** Replication progress of one follower, as its leader knows it. */
 export interface FollowerProgress {
   readonly name: string
-  /** Last index known to match. */
+  /** Highest index known to be replicated on the follower. */
   readonly matchIndex: number
-  /** When the last acknowledged message was sent, on the leader's monotonic clock, in ms. */
+  /** Send time of the last acknowledged message, in ms of the leader's monotonic clock. */
   readonly confirmedAt: number
 }
 
 /** A running member. */
 export interface RaftMember {
   status(): RaftStatus
-  /** Emits the term each time that this member becomes leader. */
+  /** Emits the term each time this member becomes leader. */
   readonly elected: Observable<number>
   /**
-   * Appends a command and waits until it is applied.
-   * @throws SpoolgateError `notLeader`, or `controlUnavailable` when it is not known whether the
+   * Appends a command and resolves with its result once it is applied.
+   * @throws SpoolgateError `notLeader`, or `controlUnavailable` when it is unknown whether the
    * command will be applied.
    */
   propose(command: unknown): Promise<unknown>
-  /** Whether this member leads, holds its lease and has applied all that was committed. */
+  /**
+   * Whether this member can serve linearizable reads: it leads, holds its lease and has applied all
+   * committed entries.
+   */
   isCurrent(): boolean
   /**
-   * The same as a check.
+   * Throws unless {@link isCurrent}.
    * @throws SpoolgateError `notLeader` or `controlUnavailable`.
    */
   checkCurrent(): void
-  /** Lists the followers as this leader sees them; empty for other roles. */
+  /** Lists the progress of the followers; empty unless this member leads. */
   listFollowers(): FollowerProgress[]
-  /** Changes the group by one member; resolves when the change is committed. */
+  /** Adds, removes or changes one member; resolves when the change is committed. */
   changeMembers(next: MemberMap): Promise<void>
   handleVote(request: VoteRequest): Promise<VoteReply>
   handleAppend(request: AppendRequest): Promise<AppendReply>
--- a/packages/control/src/raft/votes.ts
+++ b/packages/control/src/raft/votes.ts
@@ -1,4 +1,4 @@
-/** Asking the members for their votes. */
+/** Vote rounds: requests votes or pre-votes from all members and counts the replies. */
 import { toSpoolgateError } from '@spoolgate/core'
 import type { LeaseHolder } from '../log/logStore.js'
 import { countElectionQuorum, countMajority, listOthers, listVoters } from './group.js'
@@ -6,52 +6,52 @@
 
 /** Options of {@link runVoteRound}. */
 export interface VoteRoundOptions {
-  /** Groups that must each elect, the newest last: those whose changes may not be committed. */
+  /** Groups in each of which the election must be won, newest last; all but the first may be uncommitted. */
   readonly groups: readonly MemberMap[]
-  /** Voters whose disks were proven lost before this round. */
+  /** Voters whose disks were known to be lost before this round. */
   readonly knownLostVoters: readonly string[]
   readonly transport: RaftTransport
   readonly request: VoteRequest
-  /** What the candidate itself answers to the request. */
+  /** The candidate's own reply to the request. */
   readonly ownReply: VoteReply
   /** Called with the term of each reply, before the vote is counted. */
   readonly onReplyTerm: (term: number) => Promise<void>
-  /** Called with each reply that comes under another name than that of the member at the address. */
+  /** Called for each reply that proves that the disk of a voter was lost. */
   readonly onLostVoter: (voter: string, url: string, found: string) => void
 }
 
-/** How a round of votes ended. */
+/** Result of a vote round. */
 export interface VoteOutcome {
   readonly isWon: boolean
-  /** What the members answered, for the real vote that follows a pre-vote. */
+  /** Ended terms from the replies, for the real vote that follows a pre-vote. */
   readonly endedTerms: EndedTerms
-  /** Voters whose disks are lost, where the vote was won by fewer than a majority. */
+  /** Voters whose disks are lost, if the vote was won with fewer than a majority. */
   readonly lostVoters: readonly string[]
-  /** By member: `granted`, why not, `lost`, or `silent` with the reason. */
+  /** By member: `granted`, the refusal, `lost`, or `silent` with the reason. */
   readonly answers: Readonly<Record<string, string>>
 }
 
-/** Ended term of a member whose disk is lost: its process is gone, and nobody has its name any more. */
+/** Ended term of a member whose disk is lost: its process ended, and no instance uses its name again. */
 const ALL_TERMS = Number.MAX_SAFE_INTEGER
 
-/** Characters of a failure that are reported: enough for its cause. */
+/** Maximum length of a reported error message. */
 const MAX_FAILURE_CHARS = 80
 
-/** Whether a leader said that it does not lead the term any more, so that its lease is over. */
+/** Whether a leader reported that it no longer leads the term, which ends its lease. */
 export function isLeaseEnded(holder: LeaseHolder, endedTerms: EndedTerms): boolean {
   return (endedTerms[holder.name] ?? -Infinity) >= holder.term
 }
 
 /**
- * Asks all other members at once; won as soon as a majority, with the candidate in it, has granted
- * its vote. In a pre-vote, a member that only waits for a lease counts once its holder has answered
- * that the lease is over: the real vote informs the member.
+ * Asks all other members in parallel. The round is won as soon as a majority including the candidate has
+ * granted its vote. In a pre-vote, a member that refused only because of a lease counts as granting once
+ * the lease holder has replied that the lease ended: the real vote passes this on to the member.
  *
- * Four voters bear the loss of two, though two are no majority: an instance that answers under another
- * name than the voter at its address has lost the disk of that voter, which can neither vote nor
- * acknowledge anything ever again. Where a disk is proven lost, half of an even group may elect (see
- * {@link countElectionQuorum}). The proofs come before the votes that rest on them: a loss that shows in a real
- * vote counts in the next round only, so that two such elections of one term always share a voter.
+ * A reply under another name than that of the voter at the address proves that the voter's disk is lost:
+ * the voter can neither vote nor acknowledge anything any more. With a proven loss, half of an even group
+ * can elect a leader (see {@link countElectionQuorum}), so four voters tolerate two lost disks although two
+ * are not a majority. The proof must precede the real vote: a loss found during one counts only in the next
+ * round, so that two such elections of the same term always share a voter.
  */
 export function runVoteRound(options: VoteRoundOptions): Promise<VoteOutcome> {
   const { groups, transport, request, ownReply, onReplyTerm, onLostVoter } = options
@@ -82,7 +82,7 @@
     lostVoters,
     answers: buildAnswers(),
   })
-  // A member that answers at the address of another one has moved; it says nothing of that one's disk.
+  // A member that replies at another member's address has moved; this proves nothing about that disk.
   const isLostDiskProof = (name: string, { voter }: VoteReply) =>
     voter !== name && (members[voter] === undefined || members[voter].url === members[name].url)
   const listLost = () => {
