--- a/packages/control/src/__tests__/appliedLog.spec.ts
+++ b/packages/control/src/__tests__/appliedLog.spec.ts
@@ -14,7 +14,7 @@
   return Object.fromEntries(names.map((name) => [name, { url: name, kind: 'voter' }]))
 }
 
-describe('the committed part of a log', () => {
+describe('the snapshot of the applied log', () => {
   const founders = buildVoters(['a', 'b', 'c'])
   const grown = buildVoters(['a', 'b', 'c', 'd'])
   const logger = createQuietLogger()
@@ -28,7 +28,7 @@
     membership.observe(entry)
     await store.append([entry])
   }
-  /** Waits for the line of the next snapshot. */
+  /** Waits until the next snapshot is logged. */
   const waitForSnapshot = () => new Promise<void>((resolve) => (written = resolve))
 
   beforeEach(async () => {
@@ -47,14 +47,14 @@
   })
   afterEach(() => store.close())
 
-  it('is saved with the group that was in force at its end, not with a change that is under way', async () => {
+  it('contains the group as of its last entry, without a later uncommitted change', async () => {
     for (let index = 0; index < SNAPSHOT_EVERY; index += 1) await append({ group: 'noop' })
     await append({ group: 'members', members: grown })
     const saved = waitForSnapshot()
     void applied.advance(SNAPSHOT_EVERY)
     await saved
     expect((store.snapshot()?.state as SavedState).members).to.deep.equal(founders)
-    // The change goes on to count with the group before it, also for who reads the disk again.
+    // After a reload from disk, commits still need a majority of both groups.
     membership.reload()
     expect(membership.listCommitGroups(SNAPSHOT_EVERY)).to.deep.include.members([founders, grown])
   })
--- a/packages/control/src/__tests__/electionReport.spec.ts
+++ b/packages/control/src/__tests__/electionReport.spec.ts
@@ -7,12 +7,12 @@
 
 const NAMES = ['a', 'b', 'c', 'd']
 
-/** Lists the logged lines of one event. */
+/** Lists the log lines of one event. */
 function listLines(lines: readonly string[], event: string): string[] {
   return lines.filter((line) => line.includes(` event=${event} `))
 }
 
-describe('the report of a group without a leader', () => {
+describe('election report of a group without a leader', () => {
   let group: TestGroup
 
   beforeEach(async () => {
@@ -22,7 +22,7 @@
   })
   afterEach(() => group.close())
 
-  /** Reads the answers that one member reported since it stands alone. */
+  /** Runs the group and returns the answers in the last failed-election line of a member. */
   const readAnswers = async (name: string): Promise<Record<string, string>> => {
     const known = group.logLines.length
     await group.run(ELECTION_MS * 5)
@@ -32,14 +32,14 @@
     return JSON.parse(JSON.parse(answers) as string) as Record<string, string>
   }
 
-  it('names the voters that do not answer', async () => {
+  it('names the voters that do not reply', async () => {
     for (const name of ['a', 'b', 'c']) group.frozenMembers.add(name)
     const answers = await readAnswers('d')
     expect(answers.d).to.equal('granted')
     expect(answers.a).to.equal('silent: link is cut')
   })
 
-  it('names a voter whose disk is lost, and says once that it is', async () => {
+  it('names a voter whose disk is lost and logs the loss once', async () => {
     const left = ['a', 'b']
     await group.restart(left, 0)
     await group.loseDisks(['c'])
@@ -53,7 +53,7 @@
     expect(lost[0]).to.include('voter=c url=c found=c#new')
   })
 
-  it('names the leader whose lease holds a vote back', async () => {
+  it('names the leader whose lease prevents a vote', async () => {
     const old = group.leader()?.name as string
     const others = NAMES.filter((name) => name !== old)
     group.isolate(old)
@@ -64,7 +64,7 @@
     expect(lines.some((line) => line.includes(`heldBack by ${old} of term ${term}`))).to.equal(true)
   })
 
-  it('reports to a candidate that its log is behind', async () => {
+  it('shows a candidate that its log is behind', async () => {
     const leader = await group.waitForLeader()
     const [behind, other] = NAMES.filter((name) => name !== leader.name)
     group.isolate(behind)
@@ -74,7 +74,7 @@
     expect((await readAnswers(behind))[other]).to.equal('behind')
   })
 
-  it('reports why an instance stands in no election itself', async () => {
+  it('logs why an instance cannot be a candidate', async () => {
     await group.loseDisks(['d'])
     await group.run(ELECTION_MS * 3)
     const lines = listLines(group.logLines, 'raft.notStanding')
@@ -82,10 +82,10 @@
   })
 })
 
-describe('the lines of an election report', () => {
+describe('output of the election report', () => {
   const members: MemberMap = { a: { url: 'a', kind: 'voter' }, b: { url: 'b', kind: 'voter' } }
 
-  it('are bounded, and say at once what has changed', () => {
+  it('limits the rate of log lines and logs changed content at once', () => {
     const lines: string[] = []
     const timers = createManualTimerService()
     const logger = createLogger({ write: (line) => void lines.push(line) })
@@ -95,7 +95,7 @@
       report.recordFailedRound({ term: round, isPreVote: true, members, answers })
       timers.advance(50)
     }
-    // Rounds of 5 s: one line a second.
+    // The rounds span 5 s: one line per second.
     expect(lines).to.have.length(5)
     timers.advance(100)
     report.recordFailedRound({ term: 1, isPreVote: true, members, answers: { b: 'lost' } })
@@ -104,11 +104,11 @@
       report.recordFailedRound({ term: 1, isPreVote: true, members, answers: { b: `x${round}` } })
       timers.advance(10)
     }
-    // What changes each time is written ten times a second; the first of these came too early.
+    // Changing content is logged ten times a second; the first of these lines came too early.
     expect(lines).to.have.length(15)
   })
 
-  it('go with the time without a leader as a metric', async () => {
+  it('records the time without a leader as a metric', async () => {
     const metrics = createMetrics('control')
     const timers = createManualTimerService()
     const logger = createLogger({ level: 'quiet' })
@@ -128,13 +128,13 @@
   })
 })
 
-describe('the warning that a group bears fewer losses than wanted', () => {
+describe('warning that a group tolerates fewer losses than configured', () => {
   const buildVoters = (count: number): MemberMap =>
     Object.fromEntries(
       Array.from({ length: count }, (_, index) => [`m${index}`, { url: '', kind: 'voter' }]),
     )
 
-  it('is written once for each group that stays so, with the numbers and the remedy', () => {
+  it('is logged once for each group that stays in this state, with the numbers and the remedy', () => {
     const lines: string[] = []
     const timers = createManualTimerService()
     const logger = createLogger({ write: (line) => void lines.push(line) })
--- a/packages/control/src/__tests__/group.ts
+++ b/packages/control/src/__tests__/group.ts
@@ -1,4 +1,4 @@
-/** A control group in memory whose links can be cut, for tests of elections and leases. */
+/** In-memory Raft group with simulated time and network faults, for tests of elections and leases. */
 import {
   ConnectionError,
   createInvariants,
@@ -14,49 +14,52 @@
 import { createControlMachine, type ControlMachine } from '../state/controlMachine.js'
 import { createMemoryFolder, type MemoryFolder } from './memoryFolder.js'
 
-/** One member with its disk. */
+/** Member with its disk and clock. */
 export interface TestMember {
   readonly name: string
-  /** Where it is reached; links are cut between addresses. */
+  /** Address of the member; links are cut between addresses. */
   readonly url: string
   member: RaftMember
   machine: ControlMachine
   folder: MemoryFolder
-  /** Whether its clock moves; a frozen process neither sends nor answers. */
+  /** Clock of the member; it does not advance while the member is frozen. */
   timers: ManualTimerService
 }
 
-/** A group of members. */
+/** Simulated group. */
 export interface TestGroup {
   readonly members: Map<string, TestMember>
-  /** Links that are cut, as `from>to`. */
+  /** Cut links, as `from>to` with addresses. */
   readonly cutLinks: Set<string>
+  /** Names of members whose process is paused: it neither sends nor replies. */
   readonly frozenMembers: Set<string>
-  /** Bytes that a link carries within the time limit of a message; larger ones never arrive. */
+  /** Maximum size of a message that arrives before its timeout; larger messages fail. */
   maxMessageBytes: number
-  /** What the members have logged. */
+  /** Log lines of all members. */
   readonly logLines: readonly string[]
+  /** Cuts all links of a member. */
   isolate(name: string): void
+  /** Restores all links. */
   heal(): void
-  /** Moves time forward until the condition holds. */
+  /** Advances time until the condition holds. */
   runUntil(condition: () => boolean, what: string): Promise<void>
-  /** Moves time forward. */
+  /** Advances time. */
   run(duration: number): Promise<void>
   leader(): TestMember | undefined
-  /** Waits for a leader, or for another one. */
+  /** Advances time until there is a leader other than the named one. */
   waitForLeader(other?: string): Promise<TestMember>
-  /** Proposes a command and moves time forward until it is known what became of it. */
+  /** Proposes a command and advances time until it succeeds or fails. */
   propose(leader: TestMember, command: unknown): Promise<unknown>
-  /** Members that hold a lease. */
+  /** Number of members that hold a lease. */
   countLeases(): number
-  /** Stops members and starts them again on their disks. */
+  /** Restarts members with their disks. */
   restart(names: readonly string[], startedAt: number): Promise<void>
   /**
-   * Cuts the power of members at one moment: what they had not synced may be gone. Returns their
-   * disks, from which {@link TestGroup.start} starts them again.
+   * Cuts the power of members at the same instant; unsynced data may be lost. Returns their disks for
+   * {@link TestGroup.start}.
    */
   losePower(names: readonly string[]): Promise<Map<string, MemoryFolder>>
-  /** Stops members for good; an instance with an empty disk and a new name comes to each address. */
+  /** Replaces each member by an instance with an empty disk and a new name at the same address. */
   loseDisks(names: readonly string[]): Promise<void>
   start(
     name: string,
@@ -67,7 +70,7 @@
 
 export const ELECTION_MS = 100
 
-/** Builds what a candidate outside of the group asks, whose log is up to date. */
+/** Builds the pre-vote request of a candidate outside the group with an up-to-date log. */
 export function buildPreVote(term: number, lastIndex: number): VoteRequest {
   return { isPreVote: true, term, candidate: 'z', lastIndex, lastTerm: term, endedTerms: {} }
 }
@@ -100,9 +103,9 @@
       const fail = () => new ConnectionError('link is cut', true, false)
       const target = findRunningAt(url)
       if (cutLinks.has(`${fromUrl}>${url}`) || !target || frozenMembers.has(from)) throw fail()
-      // As the route of these messages does: only votes are answered under another name.
+      // Like the HTTP route, only vote requests are accepted for another name.
       if (name !== 'vote' && target.name !== to) throw fail()
-      // Messages travel as text, so that nobody shares what another still changes.
+      // Messages are serialised, so that members share no mutable objects.
       const text = JSON.stringify(request)
       if (text.length > group.maxMessageBytes) throw fail()
       const { member } = target
@@ -132,7 +135,7 @@
     const member = createRaftMember({
       name,
       url,
-      // As its identity says: who joined later founded no group.
+      // A member that joined later has no founders in its identity file.
       founders: name in founders ? founders : {},
       isFounding: options.isFounding ?? true,
       store,
@@ -181,7 +184,7 @@
         if (condition()) return
         await step()
       }
-      throw new Error(`never happened: ${what}`)
+      throw new Error(`condition not met in time: ${what}`)
     },
     leader: () =>
       [...members.values()].find(({ name, member }) => {
--- a/packages/control/src/__tests__/groupModel.ts
+++ b/packages/control/src/__tests__/groupModel.ts
@@ -1,6 +1,6 @@
 /**
- * A seeded life of a control group in memory: proposals, cuts, freezes, restarts, lost disks and
- * replaced machines in random order, with what must hold after each step of time.
+ * Randomised simulation of an in-memory Raft group: proposals, cut links, frozen processes, restarts, lost
+ * disks and replaced machines in a seeded order, with invariants checked after each time step.
  */
 import { createRandomSource, type RandomSource } from '@spoolgate/core'
 import { createTestGroup, ELECTION_MS, type TestGroup, type TestMember } from './group.js'
@@ -8,46 +8,46 @@
 import type { MemberMap } from '../raft/messages.js'
 import type { MemoryFolder } from './memoryFolder.js'
 
-/** What a life did, for the report of a run by hand. */
+/** Statistics of a simulation, printed for runs with a seed range. */
 export interface ModelReport {
   readonly founders: number
   readonly wantedVoters: number
-  /** Entries acknowledged. */
+  /** Last acknowledged table version. */
   readonly acknowledged: number
-  /** Terms that had a leader. */
+  /** Number of terms that had a leader. */
   readonly terms: number
   readonly lostDisks: number
   readonly replaced: number
-  /** Elections that rested on proven losses. */
+  /** Number of elections won with proven disk losses. */
   readonly byProof: number
   readonly actions: readonly string[]
 }
 
 const STEP_MS = 5
 const ACTIONS = 50
-/** Virtual time between two looks at the group, in ms. */
+/** Interval at which the group membership is managed, in ms of virtual time. */
 const PLAN_INTERVAL_MS = 40
-/** Virtual time in which a leader must come once all are back, in ms. */
+/** Time in which a leader must be elected after all members are back, in ms of virtual time. */
 const RECOVERY_MS = ELECTION_MS * 100
-/** Last lines of the members' logs that a failure shows. */
+/** Number of log lines that an error contains. */
 const MAX_LOG_LINES_SHOWN = 12
-/** Spans of virtual time between two actions, in ms: mostly short, some as long as a repair. */
+/** Times between two actions, in ms of virtual time: mostly short, some as long as a repair. */
 const ACTION_GAPS_MS = [5, 20, 60, 120, 300, 800, 2_500, 6_500]
 
-/** An address with what happened to it. */
+/** An address and the state of the instance there. */
 interface Host {
   readonly url: string
-  /** Instance that runs here or did last. */
+  /** Instance that runs here or ran here last. */
   name: string
-  /** Disk of an instance that is down; undefined while it runs. */
+  /** Disk of a stopped instance; undefined while it runs. */
   stoppedDisk: MemoryFolder | undefined
-  /** Group that the instance knew when it last went down. */
+  /** Members that the instance knew when it last stopped. */
   lastKnownMembers: MemberMap
-  /** Names of disks lost here, and of a machine taken away, until their successor is a voter. */
+  /** Names of instances whose disk or machine was lost here, until their replacement is a voter. */
   lostNames: string[]
 }
 
-/** Part of the freezes in which the machine itself is suspended. */
+/** Probability that a freeze suspends the whole machine, so that its monotonic clock stops. */
 const SUSPEND_PROBABILITY = 0.5
 const SUSPEND_SEED_OFFSET = 1_000_003
 
@@ -55,7 +55,7 @@
   readonly actions: string[] = []
   readonly leaderByTerm = new Map<number, string>()
   readonly frozenAt = new Map<string, number>()
-  /** Drawn apart, so that the other draws of a seed stay as they were. */
+  /** Separate random source, which keeps the other draws of a seed unchanged. */
   readonly suspendRandom: RandomSource
   hosts: Host[]
   now = 0
@@ -69,9 +69,9 @@
     readonly random: RandomSource,
     readonly group: TestGroup,
     readonly steps: GroupSteps,
-    /** Disks that may be lost at once. */
+    /** Maximum number of disks lost at the same time. */
     readonly maxLostDisks: number,
-    /** Of these, machines that may be gone for good. */
+    /** Maximum number of these lost for good with their machine. */
     readonly maxLostMachines: number,
   ) {
     this.suspendRandom = createRandomSource(seed + SUSPEND_SEED_OFFSET)
@@ -95,7 +95,10 @@
       ({ name }) => !this.group.frozenMembers.has(name),
     )
     const leaseHolders = running.filter(({ member }) => member.status().hasLease)
-    this.check(leaseHolders.length <= 1, `leases of ${leaseHolders.map(({ name }) => name).join()}`)
+    this.check(
+      leaseHolders.length <= 1,
+      `more than one lease: ${leaseHolders.map(({ name }) => name).join()}`,
+    )
     for (const { name, member } of running) {
       const { role, term } = member.status()
       if (role !== 'leader') continue
@@ -106,7 +109,7 @@
     for (const { name, member, machine } of leaseHolders) {
       if (!isCurrent(member)) continue
       const found = machine.table.current()?.version ?? 0
-      const what = `${name} serves ${found}, and ${this.acknowledged} was acknowledged`
+      const what = `${name} serves ${found}, but ${this.acknowledged} was acknowledged`
       this.check(found >= this.acknowledged, what)
     }
   }
@@ -122,14 +125,14 @@
   }
 
   /**
-   * A loss counts until its successor is a voter that holds all that was committed, and knows so; a
-   * lost voter that is not out of the group yet counts by itself.
+   * Clears the losses of a host once its replacement is a voter that knows the leader's commit index and
+   * no lost instance of the host is a voter any more.
    */
   recordRepairs(): void {
     const leader = this.group.leader()
     if (!leader || !isCurrent(leader.member)) return
     const { members, commitIndex, lastIndex } = leader.member.status()
-    // A change counts from its entry on, and is no repair before that is committed.
+    // A membership change applies from its entry on, but repairs a loss only once it is committed.
     if (commitIndex < lastIndex) return
     const isVoter = (name: string) => members[name]?.kind === 'voter'
     for (const host of this.hosts) {
@@ -139,7 +142,7 @@
     }
   }
 
-  /** Lists whom any instance counts as a voter, or did when it went down. */
+  /** Lists all names that any running or stopped instance knows as a voter. */
   listVoters(): Set<string> {
     const running = [...this.group.members.values()].map(({ member }) => member.status().members)
     const stopped = this.hosts.flatMap(({ stoppedDisk, lastKnownMembers }) =>
@@ -179,7 +182,7 @@
     const version = this.version
     target.member.propose({ kind: 'table.put', version, document: '{}' }).then(
       () => (this.acknowledged = Math.max(this.acknowledged, version)),
-      // Whether it is in force is not known; nothing may be said of it.
+      // The outcome is unknown, so the version does not count as acknowledged.
       () => undefined,
     )
   }
@@ -197,7 +200,7 @@
     host.stoppedDisk = disks.get(host.name)
   }
 
-  /** Starts an instance on the disk that it left, or on an empty one. */
+  /** Starts an instance with its previous disk or an empty one. */
   async start(host: Host, isEmpty = false): Promise<void> {
     const folder = isEmpty ? undefined : host.stoppedDisk
     host.stoppedDisk = undefined
@@ -210,7 +213,7 @@
     this.frozenAt.delete(name)
     this.group.frozenMembers.delete(name)
     const found = this.group.members.get(name) as TestMember
-    // A frozen process sees its monotonic clock jump when it wakes; one whose machine was suspended does not.
+    // The monotonic clock of a frozen process jumps on resume; that of a suspended machine does not.
     if (this.suspendRandom.next() < SUSPEND_PROBABILITY) found.timers.suspend(this.now - since)
     else found.timers.advance(this.now - since)
   }
@@ -224,7 +227,7 @@
     await this.start(host, true)
   }
 
-  /** Takes a machine away for good, whose voters that will not return must leave a majority. */
+  /** Replaces a machine for good, if the voters that do not return then leave a majority. */
   async removeMachine(host: Host): Promise<void> {
     const gone = this.hosts.filter(({ name, lostNames, stoppedDisk }) => {
       return lostNames.length > 0 || stoppedDisk || this.frozenAt.has(name)
@@ -293,7 +296,7 @@
     }
   }
 
-  /** Every machine loses power at one moment, some their disks; they come back in any order. */
+  /** Cuts the power of all running hosts at once, loses some disks and restarts the hosts in random order. */
   async losePowerEverywhere(): Promise<void> {
     const running = this.hosts.filter(({ stoppedDisk }) => stoppedDisk === undefined)
     this.actions.push(`${this.now} losePower`)
@@ -330,12 +333,12 @@
       return leader !== undefined && isCurrent(leader.member)
     }
     while (!isServing()) {
-      this.check(this.now < end, 'no leader came')
+      this.check(this.now < end, 'no leader was elected')
       await this.run(STEP_MS)
     }
     const before = this.acknowledged
     while (this.acknowledged === before) {
-      this.check(this.now < end, 'nothing was acknowledged any more')
+      this.check(this.now < end, 'no further entry was acknowledged')
       this.submitTable()
       await this.run(ELECTION_MS)
     }
@@ -351,7 +354,7 @@
   }
 }
 
-/** Runs the life of one seed; throws with its actions where something does not hold. */
+/** Runs the simulation of one seed; throws with its actions if an invariant is violated. */
 export async function runModel(seed: number): Promise<ModelReport> {
   const random = createRandomSource(seed)
   const founders = 2 + random.nextInt(6)
--- a/packages/control/src/__tests__/logStore.spec.ts
+++ b/packages/control/src/__tests__/logStore.spec.ts
@@ -11,7 +11,7 @@
   const records = [{ a: 1 }, { b: 'two' }, { c: [3] }].map(encodeRecord)
   const file = Buffer.concat(records)
 
-  it('reads back what was written', () => {
+  it('decodes encoded records', () => {
     const scanned = parseRecords(file, 'log')
     expect(scanned).to.deep.equal({
       payloads: [{ a: 1 }, { b: 'two' }, { c: [3] }],
@@ -20,7 +20,7 @@
     })
   })
 
-  it('cuts a torn tail at every length', () => {
+  it('truncates a torn last record of any length', () => {
     const whole = records[0].length + records[1].length
     for (let length = whole; length < file.length; length += 1) {
       const scanned = parseRecords(file.subarray(0, length), 'log')
@@ -29,7 +29,7 @@
     }
   })
 
-  it('refuses a file that is damaged in the middle, and names the remedy', () => {
+  it('rejects a file that is damaged in the middle, with the remedy in the error', () => {
     for (let offset = 0; offset < records[0].length; offset += 1) {
       const damaged = Buffer.from(file)
       damaged[offset] ^= 0x40
@@ -38,11 +38,11 @@
   })
 })
 
-describe('the log under crashes', () => {
+describe('log store after crashes', () => {
   const logger = createQuietLogger()
   const open = (folder: MemoryFolder) => openLogStore({ folder, logger, onFailure: () => {} })
 
-  /** Writes entries, ballots and snapshots; returns what was acknowledged before the crash. */
+  /** Writes entries, vote states and snapshots; returns what was acknowledged before the crash. */
   const writeUntilCrash = async (store: LogStore, from: number) => {
     const acknowledged = { index: from, term: store.voteState().term }
     for (let index = from + 1; index <= from + ENTRIES; index += 1) {
@@ -58,7 +58,7 @@
         })
       }
       if (index % 5 === 0) {
-        // A waiter of a crashed disk is never answered, so the race ends the wait.
+        // After a crash the promise never settles, so the race ends the wait.
         const turn = new Promise((resolve) => setImmediate(resolve))
         await Promise.race([store.compact({ index: index - 2, term: 1, state: index }), turn])
       }
@@ -72,7 +72,7 @@
     }
   }
 
-  it(`keeps what it acknowledged over ${SEEDS} crashes at seeded operations`, async () => {
+  it(`keeps acknowledged writes over ${SEEDS} crashes at random operations`, async () => {
     let crashes = 0
     for (let seed = 1; seed <= SEEDS; seed += 1) {
       const random = createRandomSource(seed)
@@ -87,7 +87,7 @@
       expect(again.voteState().term, `seed ${seed}`).to.be.at.least(acknowledged.term)
       expect(again.durableIndex()).to.equal(again.lastIndex())
       checkContent(again, again.baseIndex(), again.lastIndex())
-      // It must go on working, and survive a second loss right after the repair.
+      // The reopened store accepts writes.
       await again.append([
         { index: again.lastIndex() + 1, term: 9, command: `entry ${again.lastIndex() + 1}` },
       ])
--- a/packages/control/src/__tests__/lostDisks.spec.ts
+++ b/packages/control/src/__tests__/lostDisks.spec.ts
@@ -1,13 +1,12 @@
 /**
- * What users saw: an operator's configuration was acknowledged. Right after it every machine lost
- * power, and two of the four control instances came back with empty disks. From then on each request
- * was refused with 503, for good, and no instance could tell which configuration is in force.
+ * Guards against a permanent outage: right after a configuration was acknowledged, all machines lost power
+ * and two of the four control instances returned with empty disks. From then on every request failed with
+ * 503, and no instance could tell which configuration is current.
  *
- * Cause: the four instances were all voters. The empty ones have new names, so that two voters were
- * left of four, and these are no majority: nobody was ever elected. That two losses are borne had been
- * reckoned from the five voters that there should be, not from what the rest can prove with the four
- * that there are. Whoever is at the address of a lost voter answers under its own name: that proves
- * the loss, and the rest then elects without it.
+ * All four instances were voters. The empty ones have new names, so two of four voters remained, which is
+ * no majority, and no leader was ever elected. Tolerating two losses had been derived from the five voters
+ * wanted, not from the four present. An instance at the address of a lost voter now replies under its own
+ * name, which proves the loss, and the remaining voters elect a leader without the lost ones.
  */
 import {
   createHttpClient,
@@ -34,27 +33,27 @@
 const NAMES = ['a', 'b', 'c', 'd']
 const SEEDS = [1, 2, 3, 4, 5]
 
-/** Builds a command that leaves a trace in the state: a table version. */
+/** Builds a command whose effect is visible in the state: a table version. */
 function buildTable(version: number) {
   return { kind: 'table.put', version, document: '{}' }
 }
 
-/** Lists all pairs of names. */
 function listPairs(names: readonly string[]): string[][] {
   return names.flatMap((first, index) => names.slice(index + 1).map((second) => [first, second]))
 }
 
-/** Orders in which the instances come back after the loss of power. */
+/** Orders in which the instances restart after the power loss. */
 const START_ORDERS: Record<string, (lost: readonly string[], kept: readonly string[]) => string[]> =
   {
-    'the empty ones first': (lost, kept) => [...lost, ...kept],
-    'the empty ones last': (lost, kept) => [...kept, ...lost],
-    'one of each in turn': (lost, kept) => lost.flatMap((name, index) => [name, kept[index]]),
+    'empty disks first': (lost, kept) => [...lost, ...kept],
+    'empty disks last': (lost, kept) => [...kept, ...lost],
+    'empty and kept disks alternating': (lost, kept) =>
+      lost.flatMap((name, index) => [name, kept[index]]),
   }
 
-describe('four voters that all lose power, two of them with their disks', () => {
+describe('four voters that all lose power, two of them also their disks', () => {
   for (const [order, listStartOrder] of Object.entries(START_ORDERS)) {
-    it(`serve again with all that was acknowledged, ${order}`, async () => {
+    it(`recover with all acknowledged entries, ${order}`, async () => {
       for (const seed of SEEDS) {
         for (const lost of listPairs(NAMES)) {
           const what = `seed ${seed} without the disks of ${lost.join()}`
@@ -75,7 +74,7 @@
           }
           const leader = await group.waitForLeader()
           expect(kept, what).to.include(leader.name)
-          // What was acknowledged is still there: 7 is not new. And the group takes what is new.
+          // The acknowledged entry is still there: version 7 is not new. The group accepts new entries.
           const again = await group.propose(leader, buildTable(7))
           expect(again, what).to.deep.equal({ isNewer: false, version: 7 })
           const next = await group.propose(leader, buildTable(8))
@@ -88,18 +87,18 @@
   }
 })
 
-/** One address with whatever instance runs there. */
+/** An address and the instance that runs there. */
 interface Host {
   readonly server: HttpServer
   folder: MemoryFolder
-  /** Undefined without power. */
+  /** Undefined while the host has no power. */
   member: RaftMember | undefined
 }
 
-/** Long against what a machine under load takes for a message; no time is asserted. */
+/** Much longer than a message takes on a machine under load; the tests assert no durations. */
 const ROUTE_ELECTION_MS = 300
 
-describe('the same over the routes of the members', () => {
+describe('four voters that lose power, over HTTP', () => {
   const timers = createTimerService()
   const logger = createQuietLogger()
   let hosts: Host[] = []
@@ -117,7 +116,7 @@
     const host: Host = { server, folder: createMemoryFolder(), member: undefined }
     const findMember = () => {
       if (host.member) return host.member
-      throw new SpoolgateError('controlUnavailable', 'there is no power')
+      throw new SpoolgateError('controlUnavailable', 'the host has no power')
     }
     const current = {
       status: () => findMember().status(),
@@ -148,13 +147,13 @@
       snapshotEvery: 1_000,
     })
   }
-  /** Proposes to whoever is elected, until one has an answer. */
+  /** Proposes a command to each leader that is elected, until one returns a result. */
   const proposeToElected = (command: unknown) => {
     const members = hosts.flatMap(({ member }) => (member ? [member] : []))
     const watches: Subscription[] = []
     return new Promise((resolve) => {
       const tryAt = (member: RaftMember) => {
-        // A leader that is deposed says so; whoever follows it is asked in its turn.
+        // If a leader is deposed, the next elected one is tried.
         member.propose(command).then(resolve, () => {})
       }
       for (const member of members) watches.push(member.elected.subscribe(() => tryAt(member)))
@@ -177,7 +176,7 @@
   })
   after(() => client.close())
 
-  /** Cuts the power of all right after an acknowledgement. */
+  /** Cuts the power of all hosts right after an acknowledgement. */
   const losePower = async () => {
     await proposeToElected(buildTable(7))
     const stopped = hosts.map(({ member }) => member)
@@ -194,7 +193,7 @@
   const startKept = (host: Host) => startMember(host, host.server.url, false)
 
   for (const order of ['first', 'last']) {
-    it(`serve again with all that was acknowledged, the empty ones ${order}`, async function () {
+    it(`recover with all acknowledged entries, empty disks ${order}`, async function () {
       this.timeout(20_000)
       await losePower()
       const [kept, lost] = [[hosts[0], hosts[3]], hosts.slice(1, 3)]
@@ -205,7 +204,7 @@
     })
   }
 
-  it('serve again where one of two has lost its disk and the other stays away', async function () {
+  it('recover when one disk is lost and another voter does not return', async function () {
     this.timeout(20_000)
     await losePower()
     await startEmpty(hosts[1])
--- a/packages/control/src/__tests__/lostProof.spec.ts
+++ b/packages/control/src/__tests__/lostProof.spec.ts
@@ -1,4 +1,4 @@
-/** What proves a lost disk, and what does not: elections by half of a group rest on it. */
+/** Tests what proves that a disk is lost. Elections by half of a group rely on this proof. */
 import { expect } from 'chai'
 import {
   buildPreVote,
@@ -8,12 +8,12 @@
   type TestMember,
 } from './group.js'
 
-/** Builds a command that leaves a trace in the state: a table version. */
+/** Builds a command whose effect is visible in the state: a table version. */
 function buildTable(version: number) {
   return { kind: 'table.put', version, document: '{}' }
 }
 
-/** Starts a change of one member's kind, without waiting for it. */
+/** Starts a change of one member's kind; resolves when it is committed. */
 function startChange(leader: TestMember, name: string, kind: 'learner' | 'voter'): Promise<void> {
   const known = leader.member.status().members
   const members = { ...known, [name]: { url: known[name]?.url ?? name, kind } }
@@ -27,21 +27,21 @@
   }
 }
 
-describe('the proof that the disk of a voter is lost', () => {
+describe('proof that the disk of a voter is lost', () => {
   const names = ['a', 'b', 'c', 'd']
 
-  it('takes it out of every group that decides, also where the newest has it as a learner', async () => {
+  it('excludes the voter from all commit groups, even if it is a learner in the latest one', async () => {
     for (const seed of [1, 2, 3]) {
       const group = await createTestGroup(names, seed)
       const old = await group.waitForLeader()
       const [demoted, reached, unreached] = names.filter((name) => name !== old.name)
       await group.run(ELECTION_MS)
-      // A voter that fell silent is made a learner; the change reaches one other member only.
+      // An unreachable voter is demoted to learner; the change reaches only one other member.
       applyCut(group, [old.name], [unreached, demoted])
       startChange(old, demoted, 'learner').catch(() => undefined)
       await group.runUntil(
         () => group.members.get(reached)?.member.status().members[demoted].kind === 'learner',
-        'the change has reached one',
+        'the change has reached one member',
       )
       group.frozenMembers.add(old.name)
       await group.loseDisks([demoted])
@@ -52,7 +52,7 @@
     }
   })
 
-  it('is none where a member has moved to the address, so that no term has two leaders', async () => {
+  it('is not given by a member that moved to the address, so that no term has two leaders', async () => {
     for (let seed = 1; seed <= 40; seed += 1) {
       const group = await createTestGroup(names, seed)
       await group.propose(await group.waitForLeader(), buildTable(7))
@@ -75,7 +75,7 @@
     }
   })
 
-  it('is needed where a name stays: an emptied member votes only once it is taken in again', async () => {
+  it('is missing if a member with an empty disk keeps its name: it cannot vote before it is added again', async () => {
     const group = await createTestGroup(['a', 'b', 'c'])
     const leader = await group.waitForLeader()
     const changeKind = async (kind: 'learner' | 'voter') => {
--- a/packages/control/src/__tests__/membership.spec.ts
+++ b/packages/control/src/__tests__/membership.spec.ts
@@ -12,7 +12,7 @@
   )
 }
 
-describe('the groups that must elect after a restart', () => {
+describe('groups in which an election must be won after a restart', () => {
   let store: LogStore
 
   beforeEach(async () => {
@@ -22,7 +22,7 @@
   })
   afterEach(() => store.close())
 
-  it('leave out those before a change that a later one proves to be committed', () => {
+  it('exclude those before a change that must be committed because a later one was started', () => {
     const founders = buildMembers({ a: 'voter', b: 'voter', c: 'voter' })
     const first = { ...founders, d: { url: 'd', kind: 'learner' as const } }
     const second = { ...founders, d: { url: 'd', kind: 'voter' as const } }
@@ -33,13 +33,13 @@
     observe(5, first)
     expect(membership.listElectionGroups(0)).to.deep.equal([founders, first])
     observe(9, second)
-    // Nothing says that the log is committed, but the second change was begun.
+    // The commit index is unknown, but the second change started only after the first was committed.
     expect(membership.listElectionGroups(0)).to.deep.equal([first, second])
   })
 })
 
-describe('a change of the group that was committed', () => {
-  it('is sent to the members at once, not with the next heartbeat', async () => {
+describe('a committed membership change', () => {
+  it('is sent to the members without waiting for the next heartbeat', async () => {
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const group = await createTestGroup(['a', 'b', 'c'], seed)
       const leader = await group.waitForLeader()
--- a/packages/control/src/__tests__/memoryFolder.ts
+++ b/packages/control/src/__tests__/memoryFolder.ts
@@ -1,32 +1,32 @@
-/** A data folder in memory that can crash at any operation and loses what was not synced. */
+/** In-memory data folder that can crash at any operation and may lose unsynced data. */
 import type { RandomSource } from '@spoolgate/core'
 import type { AppendFile, DataFolder } from '../log/dataFolder.js'
 
-/** Thrown by every operation from the crash on. */
+/** Thrown by the operation that crashes and all later ones. */
 export class CrashError extends Error {}
 
 interface FileState {
-  /** Content as the process sees it. */
+  /** Content that the process reads. */
   data: Buffer
-  /** Content that is on the disk for certain. */
+  /** Content that survives a crash. */
   synced: Buffer
 }
 
-/** A folder with a disk behind it that outlives the process. */
+/** Folder whose content survives a crash of the process. */
 export interface MemoryFolder extends DataFolder {
   /** Number of operations so far. */
   operations(): number
-  /** Crashes at the operation with this number; undefined never. */
+  /** Crashes at the operation with this number; undefined disables the crash. */
   crashAt(operation: number | undefined): void
-  /** The folder as the next process finds it: unsynced bytes may be there in part. */
+  /** Returns the folder as the next process finds it; unsynced data may have survived in part. */
   restart(random: RandomSource): MemoryFolder
 }
 
 type FileMap = Map<string, FileState>
 
-/** Creates a folder from what a disk holds. */
+/** Creates a folder from the files on a disk. */
 export function createMemoryFolder(disk: FileMap = new Map()): MemoryFolder {
-  /** Names as the process sees them, and as they are on the disk. */
+  /** Files by name as the process sees them; {@link syncedFiles} has the durable names. */
   const files: FileMap = new Map(disk)
   let syncedFiles: FileMap = new Map(disk)
   let operations = 0
@@ -42,7 +42,7 @@
   }
   const runOperation = async <T>(work: () => T): Promise<T> => {
     await Promise.resolve()
-    // A crash may come before or after the operation took effect.
+    // Crashes alternate between before and after the operation takes effect.
     if (operations % 2 === 0) countOperation()
     const result = work()
     if (operations % 2 !== 0) countOperation()
@@ -71,7 +71,7 @@
     },
     restart: (random) => {
       const restored: FileMap = new Map()
-      // Each name change that was not synced may or may not have reached the disk.
+      // Unsynced name changes either all survive or are all lost.
       const survivors = random.next() < 0.5 ? syncedFiles : files
       for (const [name, file] of survivors) {
         const data = Buffer.from(drawSurvivingData(file, random))
--- a/packages/control/src/__tests__/raft.spec.ts
+++ b/packages/control/src/__tests__/raft.spec.ts
@@ -25,7 +25,7 @@
   }
 }
 
-describe('the control group', () => {
+describe('Raft group', () => {
   let group: TestGroup
 
   const findLeader = (other?: string) => group.waitForLeader(other)
@@ -33,18 +33,18 @@
 
   afterEach(() => group.close())
 
-  it('elects one leader, and every member applies what it accepts', async () => {
+  it('elects one leader, and every member applies its committed entries', async () => {
     group = await createTestGroup(NAMES)
     const leader = await findLeader()
     const result = (await propose(leader, buildClaim('k', 'r'))) as OpenResult
     expect(result.kind).to.equal('granted')
     await group.runUntil(
       () => [...group.members.values()].every(({ machine }) => machine.claims.size() === 1),
-      'all have applied it',
+      'all members have applied it',
     )
   })
 
-  it('a leader that is cut off loses its lease before another serves', async () => {
+  it('a partitioned leader loses its lease before another member leads', async () => {
     group = await createTestGroup(NAMES)
     const old = await findLeader()
     group.isolate(old.name)
@@ -70,7 +70,7 @@
     expect(claims).to.deep.equal([1, 1, 1])
   })
 
-  it('a leader that can send but not hear steps down, and another serves', async () => {
+  it('a leader that can send but not receive steps down, and another member leads', async () => {
     group = await createTestGroup(NAMES)
     const old = await findLeader()
     for (const name of NAMES) if (name !== old.name) group.cutLinks.add(`${name}>${old.name}`)
@@ -78,19 +78,19 @@
     expect(((await propose(next, buildClaim('k', 'r'))) as OpenResult).kind).to.equal('granted')
   })
 
-  it('a paused leader finds its lease over when it wakes', async () => {
+  it('a paused leader no longer has its lease when it resumes', async () => {
     group = await createTestGroup(NAMES)
     const old = await findLeader()
     group.frozenMembers.add(old.name)
     await findLeader(old.name)
     group.frozenMembers.delete(old.name)
-    // A frozen process sees its monotonic clock jump when it wakes.
+    // The monotonic clock of a frozen process jumps when it resumes.
     old.timers.advance(ELECTION_MS * 10)
     expect(old.member.status().hasLease).to.equal(false)
     expect(() => old.member.checkCurrent()).to.throw()
   })
 
-  it('a member that was cut off does not depose the leader when it returns', async () => {
+  it('a partitioned member does not depose the leader when it reconnects', async () => {
     group = await createTestGroup(NAMES)
     const leader = await findLeader()
     const { term } = leader.member.status()
@@ -102,7 +102,7 @@
     expect(leader.member.status()).to.include({ role: 'leader', term })
   })
 
-  it('a follower that receives from its leader helps nobody to depose it', async () => {
+  it('a follower that receives from its leader votes for nobody else', async () => {
     group = await createTestGroup(NAMES)
     const leader = await findLeader()
     await group.run(ELECTION_MS)
@@ -128,7 +128,7 @@
     }
   })
 
-  it('survives a lost disk: the replacement joins as a learner and does not vote before', async () => {
+  it('replaces a member whose disk is lost: it joins as a learner and does not vote before', async () => {
     group = await createTestGroup(NAMES)
     const leader = await findLeader()
     await propose(leader, buildClaim('k1', 'r1'))
@@ -162,14 +162,14 @@
     await group.runUntil(() => replaced.machine.claims.size() === 1, 'the learner has caught up')
     await change({ ...others, [lost]: { url: lost, kind: 'voter' } })
 
-    // A second loss right after the repair.
+    // A second member is lost right after the repair.
     const second = NAMES.find((name) => name !== lost && name !== leader.name) as string
     group.isolate(second)
     const result = (await propose(group.leader() ?? leader, buildClaim('k2', 'r2'))) as OpenResult
     expect(result.kind).to.equal('granted')
   })
 
-  it('brings a member that lags behind a snapshot up to date', async () => {
+  it('sends a snapshot to a member whose log ends before the compacted entries', async () => {
     group = await createTestGroup(NAMES, 3, 20)
     const leader = await findLeader()
     const away = NAMES.find((name) => name !== leader.name) as string
@@ -180,7 +180,7 @@
     await group.runUntil(() => lagging.machine.claims.size() === 50, 'it has caught up')
   })
 
-  it('loses and doubles nothing when two operators race with answers lost', async () => {
+  it('neither loses nor duplicates changes of two concurrent operators whose replies are lost', async () => {
     group = await createTestGroup(NAMES, 5)
     const random = createRandomSource(7)
     const accepted = new Map<string, number>()
@@ -212,7 +212,7 @@
         at: 0,
       }))
       for (const command of sends) {
-        // An answer that is lost is asked for again, of whoever leads then.
+        // Some commands are sent twice, as after a lost reply, to the current leader.
         const resends = random.next() < 0.3 ? 2 : 1
         for (let send = 0; send < resends; send += 1) {
           recordResult(command.changeId, await submitUntilKnown(command))
--- a/packages/control/src/__tests__/raftRestart.spec.ts
+++ b/packages/control/src/__tests__/raftRestart.spec.ts
@@ -10,26 +10,25 @@
 
 const NAMES = ['a', 'b', 'c']
 
-/** Builds a command that leaves a trace in the state: a table version. */
+/** Builds a command whose effect is visible in the state: a table version. */
 function buildTable(version: number) {
   return { kind: 'table.put', version, document: '{}' }
 }
 
-/** Lists all pairs of names. */
 function listPairs(names: readonly string[]): string[][] {
   return names.flatMap((first, index) => names.slice(index + 1).map((second) => [first, second]))
 }
 
-describe('a control group whose members restart or lose their disks', () => {
+describe('Raft group whose members restart or lose their disks', () => {
   let group: TestGroup
 
   afterEach(() => group.close())
 
-  it('that starts again together has a leader within half an election timeout', async () => {
+  it('elects a leader within half an election timeout after all members restart together', async () => {
     for (let seed = 1; seed <= 8; seed += 1) {
       group = await createTestGroup(NAMES, seed)
       await group.waitForLeader()
-      // Nobody can have received from a leader for as long as the processes have run: they began just now.
+      // The processes have just started, so none has received from a leader since its start.
       await group.restart(NAMES, 0)
       let steps = 0
       await group.runUntil(() => {
@@ -56,12 +55,12 @@
     }
   })
 
-  it('members that have just started vote for nobody while an old lease may hold', async () => {
+  it('restarted members grant no vote while the lease of the old leader may be valid', async () => {
     for (let seed = 1; seed <= 8; seed += 1) {
       group = await createTestGroup(NAMES, seed)
       const old = await group.waitForLeader()
       await group.run(ELECTION_MS)
-      // The leader runs on, cut off, and serves by the lease that it got from the other two.
+      // The partitioned leader keeps running and serves under the lease that the other two granted.
       group.isolate(old.name)
       const others = NAMES.filter((name) => name !== old.name)
       await group.restart(others, 0)
@@ -80,7 +79,7 @@
     }
   })
 
-  it('a member that followed a leader only remembers it over a restart', async () => {
+  it('a member that followed a leader but did not vote for it remembers it across a restart', async () => {
     group = await createTestGroup(NAMES)
     const old = await group.waitForLeader()
     await group.run(ELECTION_MS)
@@ -107,12 +106,12 @@
       heldBackBy,
       refusal: 'heldBack',
     })
-    // That the leader ended an earlier term says nothing of this one.
+    // The end of an earlier term of the leader does not end the lease of this term.
     expect((await vote({ [old.name]: term - 1 })).isGranted).to.equal(false)
     expect((await vote({ [old.name]: term })).isGranted).to.equal(true)
   })
 
-  it('four voters bear the loss of two disks right after an acknowledgement', async () => {
+  it('four voters tolerate the loss of two disks right after an acknowledgement', async () => {
     const names = [...NAMES, 'd']
     for (const [seed, pair] of listPairs(names).entries()) {
       group = await createTestGroup(names, seed + 1)
@@ -124,7 +123,7 @@
       await group.loseDisks(pair)
       const leader = await group.waitForLeader()
       expect(pair, 'an empty disk does not lead').not.to.include(leader.name)
-      // The group serves again, and what was acknowledged is still there: 7 is not new.
+      // The group serves again and still has the acknowledged entry: version 7 is not new.
       const again = await group.propose(leader, buildTable(7))
       expect(again, `without ${pair.join()}`).to.deep.equal({ isNewer: false, version: 7 })
       const left = names.filter((name) => !pair.includes(name))
@@ -133,7 +132,7 @@
     }
   })
 
-  it('elects nobody where as many disks are lost as make a majority', async () => {
+  it('elects no leader when a majority of the disks is lost', async () => {
     for (const [names, lost] of [
       [NAMES, ['a', 'b']],
       [
@@ -154,12 +153,12 @@
     }
   })
 
-  it('waits for voters that may come back with their disks', async () => {
+  it('elects no leader without voters that may return with their disks', async () => {
     const names = [...NAMES, 'd']
     group = await createTestGroup(names)
     await group.propose(await group.waitForLeader(), buildTable(7))
     await group.restart(names, 0)
-    // Two are away and nothing tells that their disks are lost.
+    // Two voters are unreachable, and nothing proves that their disks are lost.
     group.frozenMembers.add('a')
     group.frozenMembers.add('b')
     await group.run(ELECTION_MS * 30)
@@ -181,14 +180,14 @@
     expect(again).to.deep.equal({ isNewer: false, version: 7 })
   })
 
-  it('four voters bear that one disk is lost while another voter is away', async () => {
+  it('four voters tolerate one lost disk while another voter is unreachable', async () => {
     const names = [...NAMES, 'd']
     for (const [seed, [away, lost]] of [...listPairs(names), ...listPairs(names)].entries()) {
       group = await createTestGroup(names, seed + 1)
       const old = await group.waitForLeader()
       await group.propose(old, buildTable(7))
       const what = `${lost} is lost and ${away} is away, ${old.name} led`
-      // The one that is away runs on and may lead, by a lease that rests on the disk now lost.
+      // The unreachable voter keeps running and may lead, with a lease granted by the member now lost.
       group.isolate(away)
       await group.loseDisks([lost])
       for (const other of group.members.values()) {
@@ -217,7 +216,7 @@
     }
   })
 
-  it('an instance that was taken in by a snapshot votes as others do', async () => {
+  it('an instance that joined through a snapshot can vote', async () => {
     group = await createTestGroup(NAMES, 1, 20)
     const leader = await group.waitForLeader()
     const newcomer = await group.start('x', { isFounding: false })
@@ -229,7 +228,7 @@
     }
     group.isolate('x')
     await take('learner')
-    // By then the change is in a snapshot, and no entry tells the instance of it.
+    // By then the membership change is in a snapshot, and no log entry contains it.
     for (let version = 1; version <= 50; version += 1) {
       await group.propose(leader, buildTable(version))
     }
@@ -243,7 +242,7 @@
     expect(vote).to.include({ isGranted: true, refusal: undefined })
   })
 
-  it('counts a change of the group only with a majority of the group before it', async () => {
+  it('commits a membership change only with a majority of the previous group', async () => {
     const names = [...NAMES, 'd']
     group = await createTestGroup(names)
     const leader = await group.waitForLeader()
@@ -258,7 +257,7 @@
     }
     await group.runUntil(await change('learner'), 'the learner is taken in')
     await group.run(ELECTION_MS)
-    // Leader, new voter and one other are three of five, but two of the four before.
+    // Leader, new voter and one other are three of five, but two of the previous four.
     group.isolate(others[0])
     group.isolate(others[1])
     const isDone = await change('voter')
@@ -268,7 +267,7 @@
     await group.runUntil(isDone, 'the change of the group')
   })
 
-  it('commits again after the next disk is lost, when an earlier lost one was replaced', async () => {
+  it('commits after a second lost disk when the first lost one was replaced', async () => {
     group = await createTestGroup(NAMES)
     let leader = await group.waitForLeader()
     const [first, second] = NAMES.filter((name) => name !== leader.name)
--- a/packages/control/src/__tests__/raftRoute.spec.ts
+++ b/packages/control/src/__tests__/raftRoute.spec.ts
@@ -10,7 +10,7 @@
 import { createRaftRoute } from '../server/groupRoutes.js'
 import { createHttpTransport } from '../server/raftTransport.js'
 
-describe('messages to a member whose address another one has now', () => {
+describe('messages to a member whose address another member uses now', () => {
   const client = createHttpClient()
   const transport = createHttpTransport({ client, timeoutMs: 1_000 })
   let server: HttpServer
@@ -33,7 +33,7 @@
   afterEach(() => server.close(0))
   after(() => client.close())
 
-  it('are answered under its own name where they ask for a vote', async () => {
+  it('are answered under the own name if they request a vote', async () => {
     const request = {
       isPreVote: true,
       term: 3,
@@ -45,7 +45,7 @@
     expect((await transport.send('old', server.url, 'vote', request)).voter).to.equal('new')
   })
 
-  it('are refused where it would acknowledge entries in the place of the other', async () => {
+  it('are rejected if they append entries for the other member', async () => {
     const request = {
       term: 3,
       leader: 'c',
--- a/packages/control/src/__tests__/suspendedMachine.spec.ts
+++ b/packages/control/src/__tests__/suspendedMachine.spec.ts
@@ -1,13 +1,12 @@
 /**
- * What users would see: a machine is suspended for seconds, and goes on as if no time had passed. A leader that was deposed
- * meanwhile still believes its lease, and reports an older configuration as the newest. Cause: every instant was read from
- * the steady clock, which stands still meanwhile. Evidence: after the time in which another leader was elected and
- * confirmed, the clock by which the lease is judged has not moved.
+ * Guards against stale reads after a machine was suspended for seconds. The monotonic clock stops during a
+ * suspension, so a leader that was deposed meanwhile considered its lease valid and reported an outdated
+ * configuration as the latest one. Leases are therefore checked on a clock that includes suspended time.
  */
 import { expect } from 'chai'
 import { createTestGroup, ELECTION_MS, type TestGroup } from './group.js'
 
-describe('a member of the control group that was suspended', () => {
+describe('Raft member on a suspended machine', () => {
   let group: TestGroup
 
   beforeEach(async () => {
@@ -15,7 +14,7 @@
   })
   afterEach(() => group.close())
 
-  it('has no lease any more on waking, where another leads', async () => {
+  it('no longer has its lease on resume when another member leads', async () => {
     const old = await group.waitForLeader()
     group.frozenMembers.add(old.name)
     const next = await group.waitForLeader(old.name)
@@ -27,7 +26,7 @@
     expect(group.countLeases()).to.equal(1)
   })
 
-  it('is not deposed because its time of day was set ahead', async () => {
+  it('keeps leading after its wall clock was set ahead', async () => {
     const leader = await group.waitForLeader()
     const { term } = leader.member.status()
     leader.timers.setWall(60_000)
@@ -36,7 +35,7 @@
     expect(leader.member.status()).to.include({ role: 'leader', hasLease: true, term })
   })
 
-  it('helps nobody to depose a leader that it followed before, any sooner than without', async () => {
+  it('does not vote against its leader any earlier because it was suspended', async () => {
     const leader = await group.waitForLeader()
     const [voter] = [...group.members.values()].filter(({ name }) => name !== leader.name)
     voter.timers.suspend(ELECTION_MS / 4)
--- a/packages/control/src/__tests__/votes.spec.ts
+++ b/packages/control/src/__tests__/votes.spec.ts
@@ -7,7 +7,7 @@
   return Object.fromEntries(names.map((name) => [name, { url: name, kind: 'voter' }]))
 }
 
-/** Asks as `a`; who answers is given by the address, and silence by nothing. */
+/** Runs a vote round as candidate `a`. `answers` has the replying name by address; others do not reply. */
 async function runRoundAsA(
   answers: Readonly<Record<string, string>>,
   options: { groups: MemberMap[]; isPreVote?: boolean; knownLostVoters?: string[] },
@@ -42,11 +42,11 @@
   return { ...outcome, found: reportedLost }
 }
 
-describe('a round of votes', () => {
+describe('vote round', () => {
   const four = [buildVoters(['a', 'b', 'c', 'd'])]
   const answers = { b: 'b', c: 'c#new' }
 
-  it('of four voters is won by half where a disk was proven lost before', async () => {
+  it('is won by two of four voters if a lost disk was proven before the real vote', async () => {
     const pre = await runRoundAsA(answers, { groups: four, isPreVote: true })
     expect(pre)
       .to.include({ isWon: true })
@@ -57,15 +57,15 @@
       .and.to.deep.include({ lostVoters: ['c'] })
   })
 
-  it('does not count a loss that shows only while the real votes are given', async () => {
-    // The voter that grants may be lost by now, to another candidate whose proof it is.
+  it('does not count a loss that is found only during the real vote', async () => {
+    // Another candidate may have found the granting voter lost and won the same term without it.
     const real = await runRoundAsA(answers, { groups: four })
     expect(real)
       .to.include({ isWon: false })
       .and.to.deep.include({ lostVoters: [], found: ['c'] })
   })
 
-  it('must be won in each group that may decide', async () => {
+  it('must be won in each group that may be committed', async () => {
     const groups = [buildVoters(['a', 'b', 'c']), buildVoters(['a', 'b', 'c', 'x'])]
     const knownLostVoters = ['c']
     expect((await runRoundAsA({ x: 'x', c: 'c#new' }, { groups, knownLostVoters })).isWon).to.equal(
@@ -76,14 +76,14 @@
     )
   })
 
-  it('is lost where as many disks are lost as make a majority', async () => {
+  it('is not won if a majority of the disks is lost', async () => {
     const knownLostVoters = ['b', 'c', 'd']
     expect((await runRoundAsA({}, { groups: four, knownLostVoters })).isWon).to.equal(false)
     const two = [buildVoters(['a', 'b'])]
     expect((await runRoundAsA({}, { groups: two, knownLostVoters: ['b'] })).isWon).to.equal(true)
   })
 
-  it('needs a majority of an odd group, whatever is lost', async () => {
+  it('needs a majority of an odd group, whichever disks are lost', async () => {
     const five = [buildVoters(['a', 'b', 'c', 'd', 'e'])]
     const knownLostVoters = ['d', 'e']
     expect((await runRoundAsA({ b: 'b' }, { groups: five, knownLostVoters })).isWon).to.equal(false)
--- a/packages/control/src/raft/member.ts
+++ b/packages/control/src/raft/member.ts
@@ -354,7 +354,7 @@
     checkCurrent: () => {
       checkLeader()
       if (isCurrent()) return
-      throw new SpoolgateError('controlUnavailable', 'the lease is not held now; try again', {
+      throw new SpoolgateError('controlUnavailable', 'the leader lease is not held; try again', {
         retryAfterSeconds: 1,
       })
     },
@@ -362,10 +362,10 @@
     changeMembers: async (next) => {
       checkLeader()
       if (membership.lastChangeIndex() > commitIndex() || applied.appliedTerm() !== term()) {
-        throw new SpoolgateError('conflict', 'a change of the group is under way; try again')
+        throw new SpoolgateError('conflict', 'another membership change is in progress; try again')
       }
       if (countChangedMembers(membership.members(), next) > 1) {
-        throw new SpoolgateError('invalidRequest', 'change the group by one member at a time')
+        throw new SpoolgateError('invalidRequest', 'change one member of the group at a time')
       }
       await propose({ group: 'members', members: next } satisfies GroupCommand)
     },
