--- a/packages/router/src/__tests__/limitSimulation.spec.ts
+++ b/packages/router/src/__tests__/limitSimulation.spec.ts
@@ -9,7 +9,7 @@
 const SHARE_AFTER_RATIO = 0.5
 
 describe('a fleet of which some servers name rate limits', () => {
-  const BUSY = { servers: 6, requestsPerSecond: 400, workMs: 600, durationMs: 12_000 }
+  const BUSY = { servers: 6, requestsPerSecond: 400, processingMs: 600, durationMs: 12_000 }
   const QUIET = { servers: 6, requestsPerSecond: 65, durationMs: 16_000 }
   const SEED = { seed: 43 }
   const nameLimit = (servers: number, perSecond: number): LimitChange[] => [
@@ -25,8 +25,8 @@
       it(`keeps a limit of ${perSecond} and uses it: ${routers} routers`, () => {
         const changes = nameLimit(2, perSecond)
         const shown = runLimitSimulation({ ...BUSY, ...SEED, routers, changes })
-        expect(shown.worstWindow).to.be.at.most(1)
-        expect(shown.leastUsed).to.be.at.least(USED_RATIO)
+        expect(shown.maxWindowRatio).to.be.at.most(1)
+        expect(shown.minUsedRatio).to.be.at.least(USED_RATIO)
         expect(shown.rejected / shown.sent).to.be.at.most(1 - SERVED_RATIO)
       })
     }
@@ -34,24 +34,24 @@
     it(`keeps the limits of all servers: ${routers} routers`, () => {
       const changes = nameLimit(6, 3)
       const shown = runLimitSimulation({ ...QUIET, ...SEED, routers, changes })
-      expect(shown.worstWindow).to.be.at.most(1)
-      expect(shown.leastUsed).to.be.at.least(USED_RATIO)
+      expect(shown.maxWindowRatio).to.be.at.most(1)
+      expect(shown.minUsedRatio).to.be.at.least(USED_RATIO)
     })
 
     it(`returns to a server whose limit is withdrawn: ${routers} routers`, () => {
       for (const perSecond of [0, 0.2, 2]) {
         const changes = withdrawLimit(2, perSecond)
         const shown = runLimitSimulation({ ...QUIET, ...SEED, routers, changes })
-        expect(shown.worstWindow).to.be.at.most(1)
-        expect(shown.leastShareAfter).to.be.at.least(SHARE_AFTER_RATIO)
+        expect(shown.maxWindowRatio).to.be.at.most(1)
+        expect(shown.minRecoveredRatio).to.be.at.least(SHARE_AFTER_RATIO)
       }
     })
 
     it(`keeps a limit that is lowered: ${routers} routers`, () => {
       const changes = [...nameLimit(2, 10), { atMs: 7_000, servers: 2, perSecond: 2 }]
       const shown = runLimitSimulation({ ...BUSY, ...SEED, routers, changes })
-      expect(shown.worstWindow).to.be.at.most(1)
-      expect(shown.leastUsed).to.be.at.least(USED_RATIO)
+      expect(shown.maxWindowRatio).to.be.at.most(1)
+      expect(shown.minUsedRatio).to.be.at.least(USED_RATIO)
     })
 
     it(`keeps a limit without a leader, under the next one, and beside restarts: ${routers} routers`, () => {
@@ -59,7 +59,7 @@
       const changes = nameLimit(2, 1.7)
       const leader = { newLeaderAtMs: 7_000, electionMs: 1_500, restartsAtMs }
       const shown = runLimitSimulation({ ...BUSY, ...SEED, ...leader, routers, changes })
-      expect(shown.worstWindow).to.be.at.most(1)
+      expect(shown.maxWindowRatio).to.be.at.most(1)
       expect(shown.rejected / shown.sent).to.be.at.most(1 - SERVED_RATIO)
     })
   }
@@ -68,7 +68,7 @@
     const changes = nameLimit(20, 1.7)
     const size = { routers: 70, servers: 82, requestsPerSecond: 1_300, durationMs: 8_000 }
     const shown = runLimitSimulation({ ...size, ...SEED, changes })
-    expect(shown.worstWindow).to.be.at.most(1)
+    expect(shown.maxWindowRatio).to.be.at.most(1)
     expect(shown.rejected / shown.sent).to.be.at.most(1 - SERVED_RATIO)
   })
 
@@ -76,15 +76,15 @@
     const changes = nameLimit(10, 1.7)
     const size = { routers: 410, servers: 40, requestsPerSecond: 1_500, durationMs: 8_000 }
     const shown = runLimitSimulation({ ...size, ...SEED, changes })
-    expect(shown.worstWindow).to.be.at.most(1)
+    expect(shown.maxWindowRatio).to.be.at.most(1)
   })
 
   it('uses a limit where all traffic is at 3 of 70 routers', () => {
     const changes = nameLimit(3, 1.7)
     const size = { routers: 70, busyRouters: 3, servers: 12, requestsPerSecond: 300 }
-    const load = { durationMs: 14_000, workMs: 600 }
+    const load = { durationMs: 14_000, processingMs: 600 }
     const shown = runLimitSimulation({ ...size, ...load, ...SEED, changes })
-    expect(shown.worstWindow).to.be.at.most(1)
-    expect(shown.leastUsed).to.be.at.least(USED_RATIO)
+    expect(shown.maxWindowRatio).to.be.at.most(1)
+    expect(shown.minUsedRatio).to.be.at.least(USED_RATIO)
   })
 })
--- a/packages/router/src/__tests__/limitSimulation.ts
+++ b/packages/router/src/__tests__/limitSimulation.ts
@@ -39,7 +39,7 @@
   /** When a router is replaced by a new one, in ms. @default never */
   readonly restartsAtMs?: readonly number[]
   /** Time from the head of an answer to a request's end, in ms. @default 100 */
-  readonly workMs?: number
+  readonly processingMs?: number
 }
 
 /** What a simulation shows. */
@@ -48,11 +48,11 @@
   /** Requests that no server was open for. */
   readonly rejected: number
   /** Largest number of counted requests in a window over the number that is allowed. */
-  readonly worstWindow: number
+  readonly maxWindowRatio: number
   /** Least requests a second of a limited server from 3 s after it named the limit, over the limit. */
-  readonly leastUsed: number
+  readonly minUsedRatio: number
   /** Least share of a server whose limit was withdrawn, from 4 s later for 2 s, over the even share. */
-  readonly leastShareAfter: number
+  readonly minRecoveredRatio: number
 }
 
 const STEP_MS = 5
@@ -203,10 +203,10 @@
       const perSecond = this.named.get(id)
       if (perSecond === undefined) informedAt.delete(id)
       else if (!informedAt.has(id)) informedAt.set(id, timers.now())
-      limits.recordAnswer(id, { perSecond, sentAt: now }, timers.now())
+      limits.recordResponse(id, { perSecond, sentAt: now }, timers.now())
       ticket.recordFirstChunk()
     })
-    timers.after(this.options.workMs ?? 100).subscribe(() => ticket.finish('ok'))
+    timers.after(this.options.processingMs ?? 100).subscribe(() => ticket.finish('ok'))
   }
 
   private applyEvents(): void {
@@ -304,9 +304,9 @@
     return {
       sent: this.sent,
       rejected: this.rejected,
-      worstWindow: this.findWorstWindow(),
-      leastUsed: this.findLeastUsed(),
-      leastShareAfter: this.findLeastShareAfter(),
+      maxWindowRatio: this.findWorstWindow(),
+      minUsedRatio: this.findLeastUsed(),
+      minRecoveredRatio: this.findLeastShareAfter(),
     }
   }
 }
--- a/packages/router/src/__tests__/quotaAdmission.spec.ts
+++ b/packages/router/src/__tests__/quotaAdmission.spec.ts
@@ -24,7 +24,7 @@
   const random = createRandomSource(1)
   const credits = createQuotaCredits({
     router: 'r',
-    life: 'a',
+    incarnation: 'a',
     countRouters: () => ROUTERS,
     random,
   })
--- a/packages/router/src/__tests__/quotaCredits.spec.ts
+++ b/packages/router/src/__tests__/quotaCredits.spec.ts
@@ -45,7 +45,12 @@
   const createRouter = (router: number) => {
     lives += 1
     const life = `l${lives}`
-    return createQuotaCredits({ router: `r${router}`, life, countRouters: () => ROUTERS, random })
+    return createQuotaCredits({
+      router: `r${router}`,
+      incarnation: life,
+      countRouters: () => ROUTERS,
+      random,
+    })
   }
   const routers = Array.from({ length: ROUTERS }, (_, router) => createRouter(router))
   const ran: { readonly at: number; readonly cost: number }[] = []
@@ -73,7 +78,7 @@
     },
     giveBack: () => {
       const last = ran.pop()
-      if (last) routers[0].giveBack({ team: TEAM, quota: QUOTA, cost: last.cost })
+      if (last) routers[0].refund({ team: TEAM, quota: QUOTA, cost: last.cost })
     },
     report: ({ router, fate, cost }) => exchange(router, fate, cost),
     restart: ({ router }) => {
@@ -170,7 +175,7 @@
   it('are void after a silence for which the leader has given them to others', () => {
     const credits = createQuotaCredits({
       router: 'r',
-      life: 'a',
+      incarnation: 'a',
       countRouters: () => 1_000,
       random: createRandomSource(1),
     })
@@ -179,14 +184,14 @@
     const key = formatQuotaKey(TEAM, QUOTA.unit)
     const grants = [{ key, granted: 900, retryAfterMs: 0 }]
     credits.applyGrants({ term: 1, sequence: 1, grants, scarce: [key] }, 0)
-    expect(credits.describe(use, 0).held).to.equal(900)
+    expect(credits.findStatus(use, 0).held).to.equal(900)
     expect(credits.take(use, CREDIT_TTL_MS + 1)).to.equal(false)
   })
 
   it('of one unit are worth nothing in another: a limit in tokens becomes one in requests', () => {
     const credits = createQuotaCredits({
       router: 'r',
-      life: 'a',
+      incarnation: 'a',
       countRouters: () => 1_000,
       random: createRandomSource(1),
     })
--- a/packages/router/src/__tests__/quotaSimulation.spec.ts
+++ b/packages/router/src/__tests__/quotaSimulation.spec.ts
@@ -16,36 +16,39 @@
 
     for (const spread of ['even', 'few', 'moving'] as const) {
       it(`is kept and used up: ${routers} routers, spread ${spread}`, async () => {
-        const { worstAllowed, used } = await run({ demand: 2, spread })
-        const central = await run({ demand: 2, spread, way: 'central' })
+        const { maxToleratedRatio: worstAllowed, usedRatio: used } = await run({
+          demand: 2,
+          spread,
+        })
+        const central = await run({ demand: 2, spread, strategy: 'central' })
         expect(worstAllowed).to.be.at.most(1)
-        expect(used).to.be.at.least((routers <= 70 ? USED_RATIO : 0.9) * central.used)
+        expect(used).to.be.at.least((routers <= 70 ? USED_RATIO : 0.9) * central.usedRatio)
       })
 
       // Reports of a very large fleet are too old for this.
       for (const demand of routers <= 70 ? [0.5, 0.85] : []) {
         it(`refuses no more at ${demand} of it than one bucket would: ${routers} routers, spread ${spread}`, async () => {
-          const { refused } = await run({ demand, spread })
-          const central = await run({ demand, spread, way: 'central' })
-          expect(refused).to.be.at.most(central.refused + REFUSED_RATIO)
+          const { refusedRatio: refused } = await run({ demand, spread })
+          const central = await run({ demand, spread, strategy: 'central' })
+          expect(refused).to.be.at.most(central.refusedRatio + REFUSED_RATIO)
         })
       }
     }
 
     const third = Math.ceil(routers / 3)
     const FAULTS = {
-      'a frozen third': [{ kind: 'frozen', atMs: 8_000, forMs: 3_500, routers: third }],
-      'a third cut off': [{ kind: 'cut', atMs: 8_000, forMs: 3_500, routers: third }],
-      'no leader for 5 s': [{ kind: 'noLeader', atMs: 8_000, forMs: 5_000 }],
-      'a restart of everything': [{ kind: 'restart', atMs: 8_000, forMs: 1 }],
+      'a frozen third': [{ kind: 'frozen', atMs: 8_000, durationMs: 3_500, routers: third }],
+      'a third cut off': [{ kind: 'cut', atMs: 8_000, durationMs: 3_500, routers: third }],
+      'no leader for 5 s': [{ kind: 'noLeader', atMs: 8_000, durationMs: 5_000 }],
+      'a restart of everything': [{ kind: 'restart', atMs: 8_000, durationMs: 1 }],
       'two new leaders': [
-        { kind: 'noLeader', atMs: 8_000, forMs: 700 },
-        { kind: 'noLeader', atMs: 11_000, forMs: 700 },
+        { kind: 'noLeader', atMs: 8_000, durationMs: 700 },
+        { kind: 'noLeader', atMs: 11_000, durationMs: 700 },
       ],
     } as const
     for (const [title, faults] of Object.entries(FAULTS)) {
       it(`is kept beside ${title}: ${routers} routers`, async () => {
-        const { worstAllowed } = await run({ demand: 2, faults })
+        const { maxToleratedRatio: worstAllowed } = await run({ demand: 2, faults })
         expect(worstAllowed).to.be.at.most(1)
       })
     }
@@ -58,10 +61,10 @@
           ...BASE,
           routers,
           demand: 0.7,
-          surge: { atMs: 8_000, forMs: 6_000, demand: 6 },
-          faults: [{ kind, atMs: 8_000, forMs: kind === 'restart' ? 1 : 3_500 }],
+          surge: { atMs: 8_000, durationMs: 6_000, demand: 6 },
+          faults: [{ kind, atMs: 8_000, durationMs: kind === 'restart' ? 1 : 3_500 }],
         })
-        expect(shown.worstAllowed).to.be.at.most(1)
+        expect(shown.maxToleratedRatio).to.be.at.most(1)
       })
     }
   }
@@ -75,8 +78,8 @@
       demand: 8,
       quotaChange: { atMs: 0, quota },
     })
-    expect(shown.worstAllowed).to.be.at.most(1)
-    expect(shown.used).to.be.at.least(USED_RATIO)
+    expect(shown.maxToleratedRatio).to.be.at.most(1)
+    expect(shown.usedRatio).to.be.at.least(USED_RATIO)
   })
 
   it('shows a way that does not keep it', async () => {
@@ -84,9 +87,9 @@
       ...BASE,
       routers: 410,
       demand: 2,
-      way: 'evenShares',
-      faults: [{ kind: 'restart', atMs: 8_000, forMs: 1 }],
+      strategy: 'evenShares',
+      faults: [{ kind: 'restart', atMs: 8_000, durationMs: 1 }],
     })
-    expect(shown.worstAllowed).to.be.above(1)
+    expect(shown.maxToleratedRatio).to.be.above(1)
   })
 })
--- a/packages/router/src/__tests__/quotaSimulation.ts
+++ b/packages/router/src/__tests__/quotaSimulation.ts
@@ -4,14 +4,20 @@
  */
 import { createRandomSource, type RandomSource } from '@spoolgate/core'
 import type { TeamQuota } from '@spoolgate/routing'
-import { createVirtualTime, findPollMs, TOLERANCE, WAYS, type ShareWay } from './quotaWays.js'
+import {
+  createVirtualClock,
+  findPollIntervalMs,
+  TOLERANCE,
+  STRATEGIES,
+  type SharingStrategy,
+} from './quotaStrategies.js'
 
 /** What happens to a part of the fleet for some time. */
 export interface SimulatedFault {
   /** `cut` routers serve without reaching the leader; `frozen` ones stand still, and go on with what has arrived. */
   readonly kind: 'cut' | 'frozen' | 'noLeader' | 'restart'
   readonly atMs: number
-  readonly forMs: number
+  readonly durationMs: number
   /** Routers that it hits, from the first on. */
   readonly routers?: number
 }
@@ -32,22 +38,22 @@
   readonly durationMs: number
   readonly faults?: readonly SimulatedFault[]
   /** Time in which the demand is another part of the limit's rate. */
-  readonly surge?: { readonly atMs: number; readonly forMs: number; readonly demand: number }
+  readonly surge?: { readonly atMs: number; readonly durationMs: number; readonly demand: number }
   readonly quotaChange?: { readonly atMs: number; readonly quota: TeamQuota }
   /** @default credits */
-  readonly way?: ShareWay
+  readonly strategy?: SharingStrategy
 }
 
 /** What was observed. */
-export interface QuotaSimulation {
+export interface QuotaSimulationResult {
   /** Most that ran in any window, as a part of rate and burst. */
-  readonly worstWindow: number
+  readonly maxWindowRatio: number
   /** The same as a part of what the tolerance allows. */
-  readonly worstAllowed: number
+  readonly maxToleratedRatio: number
   /** Cost that ran, as a part of what the rate and one burst allow. */
-  readonly used: number
+  readonly usedRatio: number
   /** Cost that was refused, as a part of the demand. */
-  readonly refused: number
+  readonly refusedRatio: number
   /** Messages to the leader a second and router. */
   readonly messagesPerS: number
   /** Bytes of reports and grants a second and router. */
@@ -90,30 +96,35 @@
 /** Runs one simulation; the same options give the same figures. */
 export async function runQuotaSimulation(
   options: QuotaSimulationOptions,
-): Promise<QuotaSimulation> {
+): Promise<QuotaSimulationResult> {
   const { seed, routers, durationMs, faults = [], costs, quotaChange } = options
   const random = createRandomSource(seed)
-  const wheel = createVirtualTime()
-  const { at, timers } = wheel
+  const clock = createVirtualClock()
+  const { at, timers } = clock
   const findQuota = () =>
     quotaChange && timers.now() >= quotaChange.atMs ? quotaChange.quota : options.quota
   const isHit = (kind: SimulatedFault['kind'], router: number) =>
     faults.some((fault) => {
-      const isNow = timers.now() >= fault.atMs && timers.now() < fault.atMs + fault.forMs
+      const isNow = timers.now() >= fault.atMs && timers.now() < fault.atMs + fault.durationMs
       return fault.kind === kind && isNow && router < (fault.routers ?? routers)
     })
   const isReachable = (router: number) =>
     !isHit('noLeader', router) && !isHit('cut', router) && !isHit('frozen', router)
-  const way = WAYS[options.way ?? 'credits']({ wheel, options, findQuota, isReachable })
-  for (const { kind, atMs, forMs, routers: hit = routers } of faults) {
-    if (kind === 'noLeader') at(atMs + forMs, way.newTerm)
+  const strategy = STRATEGIES[options.strategy ?? 'credits']({
+    clock: clock,
+    options,
+    findQuota,
+    isReachable,
+  })
+  for (const { kind, atMs, durationMs: faultMs, routers: hit = routers } of faults) {
+    if (kind === 'noLeader') at(atMs + faultMs, strategy.newTerm)
     if (kind !== 'restart') continue
-    for (let router = 0; router < hit; router += 1) at(atMs, () => way.restart(router))
-    at(atMs, way.newTerm)
+    for (let router = 0; router < hit; router += 1) at(atMs, () => strategy.restart(router))
+    at(atMs, strategy.newTerm)
   }
   const poll = (router: number) => {
-    way.poll(router)
-    at(timers.now() + findPollMs(options) + 2 * DELAY_MS, () => poll(router))
+    strategy.poll(router)
+    at(timers.now() + findPollIntervalMs(options) + 2 * DELAY_MS, () => poll(router))
   }
   for (let router = 0; router < routers; router += 1)
     at(1 + random.nextInt(FIRST_POLL_MS), () => poll(router))
@@ -123,7 +134,8 @@
   const meanCost = most === least ? least : (most - least) / Math.log(most / least)
   const findDemand = () => {
     const { surge } = options
-    const isSurge = surge && timers.now() >= surge.atMs && timers.now() < surge.atMs + surge.forMs
+    const isSurge =
+      surge && timers.now() >= surge.atMs && timers.now() < surge.atMs + surge.durationMs
     return isSurge ? surge.demand : options.demand
   }
   const findGapMs = () => (meanCost / (options.quota.perSecond * findDemand())) * MS_PER_S
@@ -132,7 +144,7 @@
   let refused = 0
   const serve = async (router: number, cost: number) => {
     asked += cost
-    if (await way.admit(router, cost)) runs.push({ at: timers.now(), cost })
+    if (await strategy.admit(router, cost)) runs.push({ at: timers.now(), cost })
     else refused += cost
   }
   const startCall = (router: number) => {
@@ -140,7 +152,7 @@
     // A frozen router takes what arrived once it wakes.
     const [freeze] = faults.filter(({ kind }) => kind === 'frozen')
     if (freeze && isHit('frozen', router))
-      at(freeze.atMs + freeze.forMs, () => void serve(router, cost))
+      at(freeze.atMs + freeze.durationMs, () => void serve(router, cost))
     else void serve(router, cost)
   }
   const arrive = (due: number) => {
@@ -149,7 +161,7 @@
     at(next, () => arrive(next))
   }
   at(WARM_UP_MS, () => arrive(WARM_UP_MS))
-  await wheel.run(WARM_UP_MS + durationMs)
+  await clock.run(WARM_UP_MS + durationMs)
 
   const ran = runs.reduce((sum, { cost }) => sum + cost, 0)
   const { perSecond, burst } = options.quota
@@ -157,11 +169,11 @@
   const inWindow = (perSecond * TOLERANCE.windowMs) / MS_PER_S + burst
   const seconds = (WARM_UP_MS + durationMs) / MS_PER_S
   return {
-    worstWindow: worst / inWindow,
-    worstAllowed: worst / (inWindow * (1 + TOLERANCE.ratio) + TOLERANCE.slack),
-    used: ran / ((perSecond * durationMs) / MS_PER_S + burst),
-    refused: refused / asked,
-    messagesPerS: way.messages() / seconds / routers,
-    bytesPerS: way.bytes() / seconds / routers,
+    maxWindowRatio: worst / inWindow,
+    maxToleratedRatio: worst / (inWindow * (1 + TOLERANCE.ratio) + TOLERANCE.slack),
+    usedRatio: ran / ((perSecond * durationMs) / MS_PER_S + burst),
+    refusedRatio: refused / asked,
+    messagesPerS: strategy.messages() / seconds / routers,
+    bytesPerS: strategy.bytes() / seconds / routers,
   }
 }
--- a/packages/router/src/__tests__/quotaWays.ts
+++ b/packages/router/src/__tests__/quotaStrategies.ts
@@ -13,10 +13,10 @@
 import { createQuotaCredits } from '../limits/quotaCredits.js'
 
 /** How a limit is shared among routers. */
-export type ShareWay = 'credits' | 'evenShares' | 'demandShares' | 'reportedUse' | 'central'
+export type SharingStrategy = 'credits' | 'evenShares' | 'demandShares' | 'reportedUse' | 'central'
 
 /** Size of the fleet. */
-export interface WayOptions {
+export interface FleetSize {
   readonly routers: number
 }
 
@@ -29,7 +29,7 @@
 const TEAM = toTeamId('t')
 
 /** Creates time that moves in steps of 1 ms. */
-export function createVirtualTime() {
+export function createVirtualClock() {
   const due = new Map<number, (() => void)[]>()
   let now = 0
   const at = (ms: number, run: () => void) => {
@@ -65,11 +65,11 @@
   return { at, timers, run }
 }
 
-/** See {@link createVirtualTime}. */
-export type VirtualTime = ReturnType<typeof createVirtualTime>
+/** See {@link createVirtualClock}. */
+export type VirtualClock = ReturnType<typeof createVirtualClock>
 
 /** Admission of the requests that reach routers. */
-export interface Admitter {
+export interface SimulatedAdmission {
   admit(router: number, cost: number): Promise<boolean>
   /** Called for each router that is polling, at its pace. */
   poll(router: number): void
@@ -80,14 +80,19 @@
 }
 
 /** What a way has at hand. */
-export interface WaySetting {
-  readonly wheel: VirtualTime
-  readonly options: WayOptions
+export interface StrategyContext {
+  readonly clock: VirtualClock
+  readonly options: FleetSize
   readonly findQuota: () => TeamQuota
   readonly isReachable: (router: number) => boolean
 }
 
-function createCreditsWay({ wheel, options, findQuota, isReachable }: WaySetting): Admitter {
+function createCreditsWay({
+  clock: wheel,
+  options,
+  findQuota,
+  isReachable,
+}: StrategyContext): SimulatedAdmission {
   const { at, timers } = wheel
   let term = 1
   let messages = 0
@@ -124,7 +129,7 @@
     lives += 1
     const credits = createQuotaCredits({
       router: `r${router}`,
-      life: `l${lives}`,
+      incarnation: `l${lives}`,
       countRouters: () => options.routers,
       random,
     })
@@ -160,7 +165,7 @@
         router,
         report,
         (grants) => credits.applyGrants(grants, askedAt),
-        findPollMs(options) - 1,
+        findPollIntervalMs(options) - 1,
       )
     },
     restart: (router) => {
@@ -176,8 +181,8 @@
 }
 
 /** Buckets of single routers, whose rates a leader may set anew each second. */
-function createSharesWay(setting: WaySetting, isByDemand: boolean): Admitter {
-  const { wheel, options, findQuota, isReachable } = setting
+function createSharesWay(setting: StrategyContext, isByDemand: boolean): SimulatedAdmission {
+  const { clock: wheel, options, findQuota, isReachable } = setting
   const { timers, at } = wheel
   let messages = 0
   const states = Array.from({ length: options.routers }, () => ({
@@ -221,7 +226,12 @@
 }
 
 /** One bucket whose level all routers know as of their last poll, and spend from freely. */
-function createReportedWay({ wheel, options, findQuota, isReachable }: WaySetting): Admitter {
+function createReportedWay({
+  clock: wheel,
+  options,
+  findQuota,
+  isReachable,
+}: StrategyContext): SimulatedAdmission {
   const { timers, at } = wheel
   let level = findQuota().burst
   let filledAt = 0
@@ -248,7 +258,7 @@
         fill()
         level -= known[router].spent
         known[router].spent = 0
-        at(timers.now() + findPollMs(options) + DELAY_MS, () => {
+        at(timers.now() + findPollIntervalMs(options) + DELAY_MS, () => {
           fill()
           known[router].level = level - known[router].spent
         })
@@ -266,7 +276,7 @@
 }
 
 /** One bucket that all routers see at once: what no fleet can do, as a measure for the others. */
-function createCentralWay({ wheel: { timers }, findQuota }: WaySetting): Admitter {
+function createCentralWay({ clock: { timers }, findQuota }: StrategyContext): SimulatedAdmission {
   let level = findQuota().burst
   let filledAt = 0
   return {
@@ -288,15 +298,16 @@
 }
 
 /** Ways to share a limit among routers. */
-export const WAYS: Record<ShareWay, (setting: WaySetting) => Admitter> = {
-  credits: createCreditsWay,
-  evenShares: (setting) => createSharesWay(setting, false),
-  demandShares: (setting) => createSharesWay(setting, true),
-  reportedUse: createReportedWay,
-  central: createCentralWay,
-}
+export const STRATEGIES: Record<SharingStrategy, (setting: StrategyContext) => SimulatedAdmission> =
+  {
+    credits: createCreditsWay,
+    evenShares: (setting) => createSharesWay(setting, false),
+    demandShares: (setting) => createSharesWay(setting, true),
+    reportedUse: createReportedWay,
+    central: createCentralWay,
+  }
 
 /** Finds the time between two polls of a router, in ms. */
-export function findPollMs({ routers }: WayOptions): number {
+export function findPollIntervalMs({ routers }: FleetSize): number {
   return Math.max(POLL_MS, routers * POLL_PER_ROUTER_MS)
 }
--- a/packages/router/src/__tests__/serverLimits.spec.ts
+++ b/packages/router/src/__tests__/serverLimits.spec.ts
@@ -17,7 +17,7 @@
 /** A router that was answered with a limit at 100 ms, and has a part of it. */
 function createInformed(perSecond: number, part: number) {
   const limits = createServerLimits()
-  limits.recordAnswer(S1, { perSecond, sentAt: 50 }, 100)
+  limits.recordResponse(S1, { perSecond, sentAt: 50 }, 100)
   limits.applyUpdate(buildUpdate(perSecond, part), 90, 110)
   return limits
 }
@@ -26,7 +26,7 @@
   it('bind whoever receives one at once, without a part of the rate', () => {
     const limits = createServerLimits()
     expect(limits.judgeSend(S1, 0).kind).to.equal('open')
-    limits.recordAnswer(S1, { perSecond: 2, sentAt: 50 }, 100)
+    limits.recordResponse(S1, { perSecond: 2, sentAt: 50 }, 100)
     expect(limits.judgeSend(S1, 100).kind).to.equal('limited')
     expect(limits.judgeSend(S1, 60_000).kind).to.equal('limited')
   })
@@ -49,11 +49,11 @@
 
   it('are not lifted by an answer to a request that was sent before they were received', () => {
     const limits = createInformed(2, 0.5)
-    limits.recordAnswer(S1, { perSecond: undefined, sentAt: 99 }, 150)
+    limits.recordResponse(S1, { perSecond: undefined, sentAt: 99 }, 150)
     expect(limits.isLimited(S1)).to.equal(true)
-    limits.recordAnswer(S1, { perSecond: 50, sentAt: 99 }, 160)
+    limits.recordResponse(S1, { perSecond: 50, sentAt: 99 }, 160)
     expect(limits.judgeSend(S1, 200).kind).to.equal('limited')
-    limits.recordAnswer(S1, { perSecond: undefined, sentAt: 200 }, 210)
+    limits.recordResponse(S1, { perSecond: undefined, sentAt: 200 }, 210)
     expect(limits.isLimited(S1)).to.equal(false)
   })
 
@@ -80,7 +80,7 @@
     limits.recordAcknowledged(first)
     expect(limits.listUnreported(TERM, 130).reports).to.have.length(0)
     expect(limits.listUnreported(TERM + 1, 130).reports).to.have.length(1)
-    limits.recordAnswer(S1, { perSecond: undefined, sentAt: 140 }, 150)
+    limits.recordResponse(S1, { perSecond: undefined, sentAt: 140 }, 150)
     expect(limits.listUnreported(TERM, 160).reports).to.deep.equal([
       { server: S1, perSecond: null, ageMs: 10 },
     ])
@@ -126,7 +126,7 @@
           }
           // Always names a limit, so that none is ever lifted.
           const observed = { perSecond: perSecond ?? 20, sentAt: now - latenessMs }
-          limits.recordAnswer(S1, observed, now)
+          limits.recordResponse(S1, observed, now)
           const update = buildUpdate(20, part ?? 0, latenessMs)
           limits.applyUpdate(update, now - latenessMs, now)
         }
--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -182,7 +182,7 @@
   const quarantine = createRequestQuarantine({ crashReports, timers, logger })
   const credits = createQuotaCredits({
     router: options.instance,
-    life: createUniqueId('router'),
+    incarnation: createUniqueId('router'),
     countRouters: () => feed.current()?.routers ?? 1,
     random,
   })
--- a/packages/router/src/direct/responseSignals.ts
+++ b/packages/router/src/direct/responseSignals.ts
@@ -49,7 +49,7 @@
     return
   }
   const perSecond = limit.kind === 'named' ? limit.perSecond : undefined
-  if (!limits.recordAnswer(id, { perSecond, sentAt }, timers.now())) return
+  if (!limits.recordResponse(id, { perSecond, sentAt }, timers.now())) return
   const event = limit.kind === 'named' ? 'server.limitNamed' : 'server.limitWithdrawn'
   logger.info(event, { server: id, request: call.id, perSecond })
 }
--- a/packages/router/src/direct/sendQuota.ts
+++ b/packages/router/src/direct/sendQuota.ts
@@ -39,7 +39,7 @@
   const charge = { team: team.id, quota, cost: measureCost(parts, quota, call) }
   const verdict = await parts.quotas.admit(charge)
   if (verdict.kind === 'admitted') {
-    return { refusal: undefined, refund: () => parts.quotas.giveBack(charge) }
+    return { refusal: undefined, refund: () => parts.quotas.refund(charge) }
   }
   const { perSecond, burst, unit } = quota
   const retryAfterSeconds = drawRetryAfterSeconds(verdict.retryAfterMs, parts.random)
--- a/packages/router/src/limits/quotaAdmission.ts
+++ b/packages/router/src/limits/quotaAdmission.ts
@@ -5,7 +5,7 @@
 import { formatQuotaKey, QUOTA_PATH, type QuotaGrants } from '@spoolgate/control'
 import { createTimeLimit, type HttpClient, type Logger, type TimerService } from '@spoolgate/core'
 import { LRUCache } from 'lru-cache'
-import type { QuotaCredits, QuotaFigures, QuotaUse } from './quotaCredits.js'
+import type { QuotaCredits, CreditStatus, QuotaCharge } from './quotaCredits.js'
 
 /** Options of {@link createQuotaAdmission}. */
 export interface QuotaAdmissionOptions {
@@ -19,13 +19,13 @@
 
 /** Whether a send may begin. */
 export type QuotaVerdict =
-  { readonly kind: 'admitted' } | ({ readonly kind: 'refused' } & QuotaFigures)
+  { readonly kind: 'admitted' } | ({ readonly kind: 'refused' } & CreditStatus)
 
 /** See {@link createQuotaAdmission}. */
 export interface QuotaAdmission {
   /** Admits a send, or refuses it; what was admitted and did not run is given back. */
-  admit(use: QuotaUse): Promise<QuotaVerdict>
-  giveBack(use: QuotaUse): void
+  admit(use: QuotaCharge): Promise<QuotaVerdict>
+  refund(use: QuotaCharge): void
 }
 
 /** Longest wait for the leader's answer, in ms. */
@@ -40,7 +40,7 @@
 const REFUSAL_LIFE_MS = 30
 
 interface Waiting {
-  readonly use: QuotaUse
+  readonly use: QuotaCharge
   questions: number
   settle(verdict: QuotaVerdict): void
 }
@@ -52,9 +52,9 @@
   let queue: Waiting[] = []
   let isAsking = false
 
-  const refuse = (use: QuotaUse): QuotaVerdict => ({
+  const refuse = (use: QuotaCharge): QuotaVerdict => ({
     kind: 'refused',
-    ...credits.describe(use, timers.promiseNow()),
+    ...credits.findStatus(use, timers.promiseNow()),
   })
   const askLeader = async (batch: readonly Waiting[]): Promise<QuotaGrants | undefined> => {
     const url = findLeaderUrl()
@@ -106,8 +106,8 @@
       isAsking = false
     }
   }
-  const isAskOfUse = ({ team }: QuotaUse) =>
-    credits.isInTouch(timers.promiseNow()) &&
+  const isAskOfUse = ({ team }: QuotaCharge) =>
+    credits.hasLeaderContact(timers.promiseNow()) &&
     queue.length < MAX_WAITING &&
     timers.now() >= (refusedUntil.get(team) ?? -Infinity)
   return {
@@ -120,6 +120,6 @@
       if (!isAsking) void askForAll()
       return verdict
     },
-    giveBack: credits.giveBack,
+    refund: credits.refund,
   }
 }
--- a/packages/router/src/limits/quotaCredits.ts
+++ b/packages/router/src/limits/quotaCredits.ts
@@ -18,14 +18,14 @@
 export interface QuotaCreditsOptions {
   readonly router: string
   /** One life of this process. */
-  readonly life: string
+  readonly incarnation: string
   /** Counts the routers that polled lately, this one included. */
   readonly countRouters: () => number
   readonly random: RandomSource
 }
 
 /** A use of a team's limit by one send. */
-export interface QuotaUse {
+export interface QuotaCharge {
   readonly team: TeamId
   readonly quota: TeamQuota
   /** In the unit of the quota. */
@@ -33,7 +33,7 @@
 }
 
 /** Figures behind a verdict, for the log. */
-export interface QuotaFigures {
+export interface CreditStatus {
   readonly held: number
   readonly isScarce: boolean
   /** Time since the leader was last asked with success, in ms. */
@@ -44,15 +44,15 @@
 /** See {@link createQuotaCredits}. Instants are in ms of the clock for promises. */
 export interface QuotaCredits {
   /** Takes the credits of a send; false where they are missing. */
-  take(use: QuotaUse, now: number): boolean
+  take(use: QuotaCharge, now: number): boolean
   /** Gives back the credits of a send that no server ran. */
-  giveBack(use: QuotaUse): void
+  refund(use: QuotaCharge): void
   /** Whether it is of use to ask the leader for more. */
-  isInTouch(now: number): boolean
+  hasLeaderContact(now: number): boolean
   /** Builds the report of what changed, with the costs of requests that wait. */
-  buildReport(waiting: readonly QuotaUse[], now: number): QuotaReport
+  buildReport(waiting: readonly QuotaCharge[], now: number): QuotaReport
   applyGrants(grants: QuotaGrants, askedAt: number): void
-  describe(use: QuotaUse, now: number): QuotaFigures
+  findStatus(use: QuotaCharge, now: number): CreditStatus
 }
 
 /** Time over which demand is averaged, in ms. */
@@ -95,7 +95,7 @@
 
 /** Creates credits of nobody. */
 export function createQuotaCredits(options: QuotaCreditsOptions): QuotaCredits {
-  const { router, life, countRouters, random } = options
+  const { router, incarnation: life, countRouters, random } = options
   /** By key of their limit. */
   const teams = new Map<string, TeamCredits>()
   /** `changes` of the teams in each report that is not answered. */
@@ -106,8 +106,8 @@
   let sequence = 0
   let appliedSequence = -1
 
-  const findKey = ({ team, quota }: QuotaUse) => formatQuotaKey(team, quota.unit)
-  const isScarce = (use: QuotaUse) => scarce.has(findKey(use))
+  const findKey = ({ team, quota }: QuotaCharge) => formatQuotaKey(team, quota.unit)
+  const isScarce = (use: QuotaCharge) => scarce.has(findKey(use))
   const findTeam = (key: string, now: number): TeamCredits => {
     const known = teams.get(key)
     if (known) return known
@@ -130,16 +130,16 @@
   const findDemand = ({ demand, demandAt }: TeamCredits, now: number): number =>
     demand * Math.exp(-Math.max(0, now - demandAt) / DEMAND_MEMORY_MS)
   const findSilentSince = () => contactAt + findContactTimeoutMs(countRouters())
-  const findEvenShare = ({ quota }: QuotaUse): number =>
+  const findEvenShare = ({ quota }: QuotaCharge): number =>
     quota.perSecond / Math.max(1, countRouters()) / MS_PER_S
   /** Finds what this router may use without a leader, in units a ms: for a team with room, at least what it used before. */
-  const findShare = (credits: TeamCredits, use: QuotaUse, now: number): number => {
+  const findShare = (credits: TeamCredits, use: QuotaCharge, now: number): number => {
     const even = findEvenShare(use)
     if (isScarce(use)) return SCARCE_SHARE * even
     return Math.max(even, findDemand(credits, now) / MS_PER_S)
   }
   /** Adds this router's share of the rate for the time without a leader. */
-  const settleSilence = (credits: TeamCredits, use: QuotaUse, now: number) => {
+  const settleSilence = (credits: TeamCredits, use: QuotaCharge, now: number) => {
     if (now - contactAt > CREDIT_TTL_MS) credits.held = Math.min(0, credits.held)
     const since = Math.max(credits.sharedUntil, findSilentSince())
     if (now <= since) return
@@ -154,7 +154,7 @@
    * touch with the leader one request besides, which the next poll reports. Without a leader a request beyond this router's part goes with
    * the probability that the part covers, so that large ones are not all refused where there are many routers.
    */
-  const drawOverdraft = (credits: TeamCredits, use: QuotaUse, now: number): boolean => {
+  const drawOverdraft = (credits: TeamCredits, use: QuotaCharge, now: number): boolean => {
     if (contactAt === -Infinity || isScarce(use)) return false
     const part = credits.held + credits.drawn + findEvenShare(use) * AHEAD_MS
     if (now <= findSilentSince()) return credits.held >= 0 || part >= use.cost
@@ -227,13 +227,13 @@
       credits.changes += 1
       return true
     },
-    giveBack: (use) => {
+    refund: (use) => {
       const credits = teams.get(findKey(use))
       if (!credits) return
       credits.held += use.cost
       credits.changes += 1
     },
-    isInTouch: (now) => now <= findSilentSince(),
+    hasLeaderContact: (now) => now <= findSilentSince(),
     buildReport: (waiting, now) => {
       const costs = new Map<string, number[]>()
       for (const use of waiting) {
@@ -264,7 +264,7 @@
       appliedSequence = grants.sequence
       scarce = new Set(grants.scarce)
     },
-    describe: (use, now) => {
+    findStatus: (use, now) => {
       const { held = 0, retryAfterMs = DEFAULT_RETRY_MS } = teams.get(findKey(use)) ?? {}
       const contactAgeMs = Math.round(now - contactAt)
       return { held: Math.round(held), isScarce: isScarce(use), contactAgeMs, retryAfterMs }
--- a/packages/router/src/limits/serverLimits.ts
+++ b/packages/router/src/limits/serverLimits.ts
@@ -24,7 +24,7 @@
 /** See {@link createServerLimits}. Instants are in ms of one monotonic clock. */
 export interface ServerLimits {
   /** Records what an answer to this router shows; true where the limit changed. */
-  recordAnswer(server: BackendServerId, observation: LimitObservation, now: number): boolean
+  recordResponse(server: BackendServerId, observation: LimitObservation, now: number): boolean
   /** Applies what the leader knows from all routers, as of an instant at or after `askedAt`. */
   applyUpdate(update: LimitsUpdate, askedAt: number, now: number): void
   recordSend(server: BackendServerId, now: number): void
@@ -150,7 +150,7 @@
     return perSecond !== undefined && at - acknowledged.at >= REPORT_PERIOD_MS
   }
   return {
-    recordAnswer: (server, { perSecond, sentAt }, now) => {
+    recordResponse: (server, { perSecond, sentAt }, now) => {
       const known = states.get(server)
       if (!known && perSecond === undefined) return false
       const state = known ?? addState(server, perSecond ?? 0, now, now)
--- a/packages/router/src/server/callerRequest.ts
+++ b/packages/router/src/server/callerRequest.ts
@@ -79,7 +79,7 @@
 }
 
 /** Parses a generation request and builds the chain of its prompt. */
-export function parseGeneration(body: Buffer, fleet: Fleet, team: Team): GenerationRequest {
+export function parseGenerationRequest(body: Buffer, fleet: Fleet, team: Team): GenerationRequest {
   const request = checkGenerationBody(parseJsonBody(body))
   const model = fleet.models.get(String(request.model))
   if (!model) {
--- a/packages/router/src/server/callerRoutes.ts
+++ b/packages/router/src/server/callerRoutes.ts
@@ -23,7 +23,7 @@
   findTeam,
   GENERATION_PATHS,
   isUnrepeatable,
-  parseGeneration,
+  parseGenerationRequest,
   readContentType,
   readDeadline,
   readIdempotencyKey,
@@ -137,7 +137,7 @@
     const accepted = accept(exchange)
     const { fleet, team } = accepted
     const body = await readBody(exchange.request, limits)
-    const generation = parseGeneration(body, fleet, team)
+    const generation = parseGenerationRequest(body, fleet, team)
     const { model, chain, isStream, user, maxTokens } = generation
     const context = createContext(accepted, {
       body,
