--- a/packages/control/src/__tests__/tableProof.spec.ts
+++ b/packages/control/src/__tests__/tableProof.spec.ts
@@ -8,7 +8,7 @@
 import { expect } from 'chai'
 import { TABLE_PATH, type FeedReply, type FeedRequest } from '../registry/feed.js'
 import { createCrashReportBuffer } from '../quarantine/crashReportBuffer.js'
-import { createFeedFollower } from '../registry/feedFollower.js'
+import { createFeedClient } from '../registry/feedClient.js'
 import { buildTableUpdate } from '../table/tableUpdate.js'
 import { NO_LIMITS, NO_QUOTAS } from './routerRecordStubs.js'
 
@@ -16,7 +16,7 @@
 const POLL_MS = 100
 const table = (version: number) => ({ version, document: JSON.stringify({ version }) })
 
-/** A router that asks a leader, which answers with the newest table or reports its version. */
+/** A router that polls a leader, which sends the first table and then reports only the newest version. */
 function startFollower() {
   const timers = createManualTimerService()
   const leader = { newest: 1, isFetchable: false }
@@ -35,13 +35,13 @@
     new Promise<void>((resolve) => timers.after(ms).subscribe(() => resolve()))
   const sendJson = (async ({ url, json }: { url: string; json: FeedRequest }) => {
     if (url.endsWith(TABLE_PATH)) {
-      if (!leader.isFetchable) throw new Error('not here yet')
+      if (!leader.isFetchable) throw new Error('the table is not available yet')
       return buildTableUpdate(undefined, table(leader.newest))
     }
     await wait(POLL_MS)
     return answerPoll(json)
   }) as HttpClient['sendJson']
-  const follower = createFeedFollower({
+  const follower = createFeedClient({
     router: 'r',
     seeds: () => ['http://a'],
     client: { sendJson } as HttpClient,
@@ -58,7 +58,7 @@
     onTrial: () => {},
     limits: NO_LIMITS,
     quotas: NO_QUOTAS,
-    onKept: () => {},
+    onCacheChanges: () => {},
   })
   const run = async (duration: number) => {
     for (let spent = 0; spent < duration; spent += STEP_MS) {
@@ -74,8 +74,8 @@
   return { timers, leader, follower, run, stop }
 }
 
-describe('the proof of a router that it holds the newest table', () => {
-  it('is not renewed by a leader that reports a newer one, until that is here', async () => {
+describe('the confirmation that a router holds the newest table', () => {
+  it('is not renewed while the leader reports a newer version that is not fetched yet', async () => {
     const { leader, follower, run, stop } = startFollower()
     await run(1_000)
     expect(follower.proofAgeMs()).to.be.at.most(3 * POLL_MS)
--- a/packages/control/src/registry/feedSource.ts
+++ b/packages/control/src/registry/feedSource.ts
@@ -15,12 +15,12 @@
   MAX_PLACEMENTS_PER_REPLY,
   type FeedReply,
   type FeedRequest,
-  type KeptPlacement,
-  type KeptPosition,
+  type CachedPlacement,
+  type CacheListCursor,
   type ServerConditions,
   type ServerLoads,
 } from './feed.js'
-import type { KeptParts } from './keptParts.js'
+import type { CacheDirectory } from './cacheDirectory.js'
 import { createRateLimitAllocator } from './rateLimitAllocator.js'
 import { createLoadAggregator } from './loadAggregator.js'
 import { createPlacementLog } from './placementLog.js'
@@ -36,71 +36,71 @@
   readonly machine: ControlMachine
   readonly timers: TimerService
   readonly findConditions: () => ServerConditions
-  /** Emits when the conditions changed. */
+  /** Emits when the conditions change. */
   readonly conditionChanges: Observable<void>
   readonly tables: TableHistory
-  /** Judges requests under which servers end. */
-  readonly blame: QuarantineCoordinator
-  /** Limits of teams. */
+  /** Quarantines requests that crash servers. */
+  readonly quarantine: QuarantineCoordinator
+  /** Quotas of the teams. */
   readonly quotas: QuotaBuckets
-  /** What engines and stores keep, for routers that do not know it yet. */
-  readonly kept: Pick<KeptParts, 'takePiece'>
-  /** Waits until what engines and stores keep is known, for a little while. */
-  readonly waitForKept: () => Promise<void>
-  /** Emits when the instance stops: waiting polls are answered at once. */
+  /** Cache content of engines and stores, for routers that do not have it yet. */
+  readonly cacheDirectory: Pick<CacheDirectory, 'readPage'>
+  /** Waits a bounded time until the cache content of engines and stores is known. */
+  readonly waitForCacheDirectory: () => Promise<void>
+  /** Emits when the instance stops; held polls are answered at once. */
   readonly stopping: Observable<unknown>
   /**
-   * Turns in which large answers are given.
-   * @default those of this process's event loop
+   * Queue that serialises large replies.
+   * @default a queue on this process's event loop
    */
   readonly turns?: TurnQueue
 }
 
-/** Answers polls; see {@link createFeedSource}. */
+/** Answers the polls of routers; see {@link createFeedSource}. */
 export interface FeedSource {
   /**
-   * Waits for something new, or for the wait that the router asked for.
-   * @throws SpoolgateError unless this instance leads and holds its lease.
+   * Replies as soon as there is an update, or after the wait that the router asked for.
+   * @throws SpoolgateError unless this instance is the leader and holds its lease.
    */
   answer(request: FeedRequest, response: ServerResponse): Promise<FeedReply>
   /**
-   * Grants credits at once.
-   * @throws SpoolgateError unless this instance leads and holds its lease.
+   * Grants quota credits without waiting.
+   * @throws SpoolgateError unless this instance is the leader and holds its lease.
    */
   grantQuotas(report: QuotaReport): QuotaGrants
   /**
-   * Lists the limits of teams and their use.
-   * @throws SpoolgateError unless this instance leads and holds its lease.
+   * Lists the quotas of the teams and their use.
+   * @throws SpoolgateError unless this instance is the leader and holds its lease.
    */
   listQuotas(): readonly QuotaStatus[]
-  /** Notes what engines and stores keep now, for all routers. */
-  addKept(placements: readonly KeptPlacement[]): void
-  /** Sums up what all routers have in progress. */
+  /** Queues changes of cache content for all routers. */
+  addCacheChanges(placements: readonly CachedPlacement[]): void
+  /** Sums the load that all routers have in progress. */
   sumLoads(): ServerLoads
 }
 
-/** Time after which a router that does not ask is no longer counted, in ms; six polls. */
-const ROUTER_LIFE_MS = 3_000
-/** Longest wait that a router may ask for, in ms. */
+/** Time after its last poll at which a router is no longer counted, in ms; six polls. */
+const ROUTER_EXPIRY_MS = 3_000
+/** Upper bound of the wait that a router may ask for, in ms. */
 const MAX_WAIT_MS = 1_000
 /**
- * Time for which a poll is held while no leader is known, in ms: it bounds the polls, and is below the silence after
- * which a router asks another instance as well.
+ * Time for which a poll is held while no leader is known, in ms. It limits the poll rate, and is shorter than the
+ * timeout after which a router also asks another instance.
  */
-const HOLD_MS = 250
-/** Time between two looks whether a leader is known, while somebody waits for it, in ms. */
-const LEADER_LOOK_MS = 25
-/** Entries in one piece of the list of all cached prefixes: at 20 bytes each, as much as a routing table. */
-const MAX_KEPT_PARTS_PER_REPLY = 1_000
+const MAX_LEADER_WAIT_MS = 250
+/** Period of checking for a known leader while a poll waits for one, in ms. */
+const LEADER_CHECK_PERIOD_MS = 25
+/** Maximum entries per page of the list of all cached prefixes; at 20 bytes each, the size of a routing table. */
+const MAX_CACHE_ENTRIES_PER_REPLY = 1_000
 /**
- * Largest update of the table that an answer carries, in bytes: the whole table of the users' sites at their
- * start takes 6 KB, and 70 of this size take a link of 100 Mbit/s for 0.09 s.
+ * Largest table update sent in a reply, in bytes. The full initial table of the users' sites is 6 KB, and 70 updates
+ * of this maximum size occupy a 100 Mbit/s link for 0.09 s.
  */
 const MAX_TABLE_BYTES = 16 * 1024
-/** Position of a router that knows nothing of what is kept. */
-const WHOLE_LIST: KeptPosition = { after: '', left: Number.MAX_SAFE_INTEGER }
-/** Sender of what comes from no router. */
-const NOBODY = 'nobody'
+/** Cursor of a router that has no cache content yet. */
+const FULL_LIST: CacheListCursor = { after: '', left: Number.MAX_SAFE_INTEGER }
+/** Sender of placements that do not come from a router. */
+const NO_ROUTER = 'nobody'
 
 function isSameWeights(
   a: Readonly<Record<string, number>>,
@@ -110,20 +110,20 @@
   return models.length === Object.keys(b).length && models.every((model) => a[model] === b[model])
 }
 
-/** Creates the source. */
+/** Creates the leader's side of the feed. */
 export function createFeedSource(options: FeedSourceOptions): FeedSource {
-  const { member, machine, timers, blame } = options
-  const loads = createLoadAggregator({ timers, routerLifeMs: ROUTER_LIFE_MS })
+  const { member, machine, timers, quarantine } = options
+  const loads = createLoadAggregator({ timers, routerLifeMs: ROUTER_EXPIRY_MS })
   const limits = createRateLimitAllocator({
     timers,
     listRouters: loads.listBusyRouters,
     isRegistered: (server) => machine.servers.find(server as BackendServerId) !== undefined,
   })
   const placements = createPlacementLog()
-  const changesOfKept = createPlacementLog()
+  const cacheChanges = createPlacementLog()
   const turns = options.turns ?? createTurnQueue()
-  let countedTerm: number | undefined
-  /** Counts the changes of all that {@link FeedReply} reports by revision. */
+  let currentTerm: number | undefined
+  /** Counts changes of the state that {@link FeedReply} reports by revision. */
   let revision = 0
   const serverChanges = createServerChanges(machine.servers.list)
   let knownWeights = machine.weights.list()
@@ -137,79 +137,95 @@
   options.conditionChanges.subscribe(() => {
     revision += 1
   })
-  const changes = merge(machine.fleetChanges, options.conditionChanges, blame.changes)
+  const changes = merge(machine.fleetChanges, options.conditionChanges, quarantine.changes)
 
   const checkLeading = () => {
     const { role, leader, leaderUrl } = member.status()
     if (role !== 'leader') {
-      throw new SpoolgateError('notLeader', 'ask the leader', { details: { leader, leaderUrl } })
+      throw new SpoolgateError('notLeader', 'this instance is not the leader; ask the leader', {
+        details: { leader, leaderUrl },
+      })
     }
     member.checkCurrent()
   }
-  /** Whether a router that asks here can get the table, or the leader's address. */
+  /** Whether this instance can serve the table, or name the leader. */
   const isLeaderKnown = () => {
     const { role, leader } = member.status()
     return role === 'leader' ? member.isCurrent() : leader !== undefined
   }
-  const leaderKnown = timers.every(LEADER_LOOK_MS).pipe(filter(isLeaderKnown), share())
-  const waitUntil = async (news: Observable<unknown>, waitMs: number, response: ServerResponse) => {
-    const isOver = race(news, timers.after(waitMs), fromEvent(response, 'close'), options.stopping)
+  const leaderKnown = timers.every(LEADER_CHECK_PERIOD_MS).pipe(filter(isLeaderKnown), share())
+  const waitUntil = async (
+    update: Observable<unknown>,
+    waitMs: number,
+    response: ServerResponse,
+  ) => {
+    const isOver = race(
+      update,
+      timers.after(waitMs),
+      fromEvent(response, 'close'),
+      options.stopping,
+    )
     await firstValueFrom(isOver, { defaultValue: undefined })
   }
 
-  /** A router that polled another leader last has none of this one's numbers. */
-  const isOfTerm = (request: FeedRequest) => request.term === member.status().term
-  const findKeptPosition = (request: FeedRequest): KeptPosition => {
-    if (!isOfTerm(request)) return WHOLE_LIST
-    const isTooMuch = changesOfKept.last() - request.keptSeen > MAX_PLACEMENTS_PER_REPLY
-    // The list goes on where it stood, once around, so that no piece is sent in vain.
-    return isTooMuch ? { ...WHOLE_LIST, after: request.keptPosition.after } : request.keptPosition
+  /** Sequence numbers and revisions of a router that last polled another leader are not valid in this term. */
+  const isCurrentTerm = (request: FeedRequest) => request.term === member.status().term
+  const findCacheCursor = (request: FeedRequest): CacheListCursor => {
+    if (!isCurrentTerm(request)) return FULL_LIST
+    const isTooFarBehind = cacheChanges.last() - request.keptSeen > MAX_PLACEMENTS_PER_REPLY
+    // Continues from the cursor and wraps around once, so that no page is sent twice.
+    return isTooFarBehind
+      ? { ...FULL_LIST, after: request.keptPosition.after }
+      : request.keptPosition
   }
-  const listKeptChanges = (request: FeedRequest) =>
-    isOfTerm(request) ? changesOfKept.listSince(NOBODY, request.keptSeen) : []
-  const beginTerm = () => {
+  const listCacheChanges = (request: FeedRequest) =>
+    isCurrentTerm(request) ? cacheChanges.listSince(NO_ROUTER, request.keptSeen) : []
+  const startTerm = () => {
     const { term } = member.status()
-    if (term === countedTerm) return
+    if (term === currentTerm) return
     placements.reset()
     limits.reset()
     options.quotas.reset(term)
-    countedTerm = term
+    currentTerm = term
   }
-  /** Records what a router reports; returns the request that it may try. */
+  /** Records the reports of a router; returns the quarantined request that it may try. */
   const recordRouter = (request: FeedRequest) => {
-    beginTerm()
+    startTerm()
     placements.add(request.router, request.placements)
     loads.record(request.router, request.loads)
     limits.record(request.limits ?? [])
     if (request.quotas) options.quotas.applyReport(request.quotas)
-    return request.blame && blame.record(request.blame)
+    return request.blame && quarantine.record(request.blame)
   }
   const findTableVersion = () => machine.table.current()?.version ?? NO_TABLE_VERSION
   const isNewTable = (request: FeedRequest) => findTableVersion() > request.tableReported
-  /** Routers that a version was reported to before have it, or are fetching it. */
+  /** Routers to which a version was already reported have it or are fetching it. */
   const findTableUpdate = (request: FeedRequest) => {
     if (!isNewTable(request)) return undefined
     const update = options.tables.findUpdate(request.tableVersion)
     return update && measureUpdate(update) <= MAX_TABLE_BYTES ? update : undefined
   }
   const isNewSuspects = (request: FeedRequest) =>
-    !isOfTerm(request) ||
-    (request.suspectsSeen !== undefined && request.suspectsSeen !== blame.revision())
+    !isCurrentTerm(request) ||
+    (request.suspectsSeen !== undefined && request.suspectsSeen !== quarantine.revision())
   const isNewLimits = (request: FeedRequest) =>
-    !isOfTerm(request) ||
+    !isCurrentTerm(request) ||
     (request.limitsSeen !== undefined && request.limitsSeen !== limits.revision())
-  const isNews = (request: FeedRequest) => {
+  const isUpdateDue = (request: FeedRequest) => {
     if (isNewTable(request) || isNewSuspects(request) || isNewLimits(request)) return true
     return request.revision !== revision
   }
   /**
-   * Whether the answer holds all servers or a piece of what is kept. Such answers take turns, so that a router without
-   * a table does not wait for the lists of those that asked later; small ones do not need to.
+   * Whether the reply contains all servers or a page of cache content. Such replies are queued, so that a router without
+   * a table does not wait behind the lists of routers that polled later; small replies bypass the queue.
    */
-  const isLarge = (request: FeedRequest) => !isOfTerm(request) || request.keptPosition.left > 0
+  const isLarge = (request: FeedRequest) => !isCurrentTerm(request) || request.keptPosition.left > 0
   const buildReply = (request: FeedRequest): FeedReply => {
     const { term, members } = member.status()
-    const piece = options.kept.takePiece(findKeptPosition(request), MAX_KEPT_PARTS_PER_REPLY)
+    const page = options.cacheDirectory.readPage(
+      findCacheCursor(request),
+      MAX_CACHE_ENTRIES_PER_REPLY,
+    )
     const common = {
       term,
       revision,
@@ -219,34 +235,34 @@
       loads: loads.sumExcept(request.router),
       placements: placements.listSince(
         request.router,
-        isOfTerm(request) ? request.placementsSeen : 0,
+        isCurrentTerm(request) ? request.placementsSeen : 0,
       ),
       placementsSeen: placements.last(),
-      kept: [...listKeptChanges(request), ...piece.placements],
-      keptSeen: changesOfKept.last(),
-      keptPosition: piece.position,
+      kept: [...listCacheChanges(request), ...page.placements],
+      keptSeen: cacheChanges.last(),
+      keptPosition: page.cursor,
       limits: isNewLimits(request) ? limits.buildUpdate(request.router) : undefined,
       limitsSeen: limits.revision(),
-      suspects: isNewSuspects(request) ? blame.list() : undefined,
-      suspectsSeen: blame.revision(),
+      suspects: isNewSuspects(request) ? quarantine.list() : undefined,
+      suspectsSeen: quarantine.revision(),
       quotas: request.quotas && options.quotas.listGrants(request.quotas),
     }
-    if (isOfTerm(request) && request.revision === revision) return common
+    if (isCurrentTerm(request) && request.revision === revision) return common
     return {
       ...common,
       weights: machine.weights.list(),
-      servers: serverChanges.listSince(isOfTerm(request) ? request.revision : undefined),
+      servers: serverChanges.listSince(isCurrentTerm(request) ? request.revision : undefined),
       conditions: options.findConditions(),
       control: Object.values(members).map(({ url }) => url),
     }
   }
   return {
     answer: async (request, response) => {
-      if (!isLeaderKnown()) await waitUntil(leaderKnown, HOLD_MS, response)
+      if (!isLeaderKnown()) await waitUntil(leaderKnown, MAX_LEADER_WAIT_MS, response)
       checkLeading()
       const trial = recordRouter(request)
-      if (!isOfTerm(request)) await options.waitForKept()
-      if (!isNews(request) && trial === undefined) {
+      if (!isCurrentTerm(request)) await options.waitForCacheDirectory()
+      if (!isUpdateDue(request) && trial === undefined) {
         await waitUntil(changes, Math.min(request.waitMs, MAX_WAIT_MS), response)
       }
       if (isLarge(request)) await turns.take()
@@ -255,14 +271,14 @@
     },
     grantQuotas: (report) => {
       checkLeading()
-      beginTerm()
+      startTerm()
       return options.quotas.applyReport(report)
     },
     listQuotas: () => {
       checkLeading()
       return options.quotas.list()
     },
-    addKept: (placed) => changesOfKept.add(NOBODY, placed),
+    addCacheChanges: (placed) => cacheChanges.add(NO_ROUTER, placed),
     sumLoads: () => loads.sumExcept(undefined),
   }
 }
--- a/packages/router/src/direct/prefixCacheIndex.ts
+++ b/packages/router/src/direct/prefixCacheIndex.ts
@@ -2,7 +2,7 @@
  * Index of the prompt parts that are cached at each model engine and store: those that they report themselves, and,
  * until their report arrives, those that this router or others sent there.
  */
-import type { KeptPlacement, Placement } from '@spoolgate/control'
+import type { CachedPlacement, Placement } from '@spoolgate/control'
 import { toBackendServerId, type BackendServerId } from '@spoolgate/core'
 import { hashPart } from '@spoolgate/routing'
 import { LRUCache } from 'lru-cache'
@@ -22,7 +22,7 @@
   /** Records a prompt that this router sent, and queues it for the other routers. */
   recordOwnPlacement(placement: Placement): void
   /** Records parts that an engine or store reports as cached or evicted. */
-  confirmPlacement(placement: KeptPlacement): void
+  confirmPlacement(placement: CachedPlacement): void
   /** Removes and returns the placements recorded by this router since the last call, for the other routers. */
   takePlacements(): Placement[]
 }
