--- a/packages/router/src/decide/serverSelector.ts
+++ b/packages/router/src/decide/serverSelector.ts
@@ -151,8 +151,8 @@
       chain: request.chain,
       servers,
       isAllowed: createFilter(request, servers),
-      distanceMs: findDistanceMs,
-      slowStartMs: (server) => ejection.findSlowStartMs(server, timers.now()),
+      networkDelayMs: findDistanceMs,
+      slowStartPenaltyMs: (server) => ejection.findSlowStartMs(server, timers.now()),
       parameters: request.parameters,
       boundedLoadFactor: request.fleet.routing.boundedLoadFactor,
       state: policyState,
@@ -206,14 +206,15 @@
     return rank(request, policy, { ...state, hints })
   }
   const rankCandidates = (request: SelectionRequest, policy: PolicyName) => {
-    const { probes, probesInDoubt = 0 } = POLICIES[policy]
+    const { probes, probesWhenUncertain = 0 } = POLICIES[policy]
     if (probes > 0) return chooseAmongProbed(request, policy, probes)
     if (options.findExactHints) return rankWithExactHints(request, policy, options.findExactHints)
     const ranked = rank(request, policy)
     const fleetSize = request.fleet.backendServersByTarget.get(request.target)?.length ?? 0
-    const isUncertain = ranked[0]?.isGuess === true && request.chain.levels.length > 0
-    if (!isUncertain || probesInDoubt === 0 || fleetSize > MAX_PROBED_FLEET_SIZE) return ranked
-    return chooseAmongProbed(request, policy, probesInDoubt)
+    const isUncertain = ranked[0]?.isMatchEstimated === true && request.chain.levels.length > 0
+    if (!isUncertain || probesWhenUncertain === 0 || fleetSize > MAX_PROBED_FLEET_SIZE)
+      return ranked
+    return chooseAmongProbed(request, policy, probesWhenUncertain)
   }
 
   return {
--- a/packages/router/src/direct/prefixLocations.ts
+++ b/packages/router/src/direct/prefixLocations.ts
@@ -4,7 +4,7 @@
  */
 import type { FleetView, RegisteredServer, StoreLife } from '@spoolgate/control'
 import { toBackendServerId, type BackendServerId } from '@spoolgate/core'
-import { formatStoreId, hashText, type EngineFacts } from '@spoolgate/routing'
+import { formatStoreId, hashText, type EngineCapacity } from '@spoolgate/routing'
 import type { PromptInfo, PromptPart } from './protocols.js'
 import { CACHE_BLOCK_TOKENS, type PrefixCacheIndex } from './prefixCacheIndex.js'
 import type { ServerStats } from './serverStats.js'
@@ -58,7 +58,7 @@
 export interface PrefixLocationsInput {
   readonly view: FleetView
   readonly prompt: PromptInfo
-  readonly engine: EngineFacts | undefined
+  readonly engine: EngineCapacity | undefined
   /** Reachable engines of the group. */
   readonly servers: readonly RegisteredServer[]
   /** Whether an engine accepts requests; one that does not can still serve fetches. */
@@ -144,7 +144,7 @@
   tokens: number,
   source: PrefixSource,
   reader: RegisteredServer,
-  engine: EngineFacts | undefined,
+  engine: EngineCapacity | undefined,
 ): number {
   if (!engine || tokens <= 0) return 0
   const linkMbps = Math.min(engine.linkMbps, source.linkMbps)
--- a/packages/router/src/relay/attempt.ts
+++ b/packages/router/src/relay/attempt.ts
@@ -19,10 +19,15 @@
   type Decline,
   type ReplyHints,
 } from '@spoolgate/routing'
-import { createFrameCursor, readFrames, type AnswerSink, type FrameCursor } from './frameReader.js'
+import {
+  createFrameCursor,
+  readFrames,
+  type ResponseSink,
+  type FrameCursor,
+} from './frameReader.js'
 
 /** Parts that every attempt of a router needs. */
-export interface AttemptParts {
+export interface AttemptDependencies {
   readonly client: HttpClient
   readonly timers: TimerService
   readonly logger: Logger
@@ -34,7 +39,7 @@
   readonly sidecarUrl: string
   readonly header: CallHeader
   readonly body: Buffer
-  readonly sink: AnswerSink
+  readonly sink: ResponseSink
   /** Aborted when the caller left, or when the attempt took too long to begin. */
   readonly signal: AbortSignal
   /** Called with the hints of a claim. */
@@ -67,7 +72,11 @@
 }
 
 /** Frees the engine's slot of an attempt that nobody waits for; failures need no answer. */
-export function cancelAttempt(parts: AttemptParts, sidecarUrl: string, header: CallHeader): void {
+export function cancelAttempt(
+  parts: AttemptDependencies,
+  sidecarUrl: string,
+  header: CallHeader,
+): void {
   const url = formatCallUrl(sidecarUrl, header)
   parts.client
     .sendJson({ method: 'DELETE', url, timeoutMs: CANCEL_TIMEOUT_MS })
@@ -82,7 +91,7 @@
 }
 
 async function resumeOnce(
-  parts: AttemptParts,
+  parts: AttemptDependencies,
   request: AttemptRequest,
   cursor: FrameCursor,
 ): Promise<SpoolgateError | undefined> {
@@ -100,7 +109,7 @@
 
 /** Reads on after a broken connection until the answer has ended or the sidecar is given up. */
 export async function resumeAttempt(
-  parts: AttemptParts,
+  parts: AttemptDependencies,
   request: AttemptRequest,
   cursor: FrameCursor = createFrameCursor(),
 ): Promise<AttemptResult> {
@@ -122,7 +131,7 @@
 }
 
 async function sendCall(
-  parts: AttemptParts,
+  parts: AttemptDependencies,
   request: AttemptRequest,
 ): Promise<IncomingMessage | AttemptResult> {
   const { header, body, sidecarUrl, signal } = request
@@ -146,7 +155,7 @@
 
 /** Runs one attempt to its end; cancels it at the sidecar when the signal aborts. */
 export async function runAttempt(
-  parts: AttemptParts,
+  parts: AttemptDependencies,
   request: AttemptRequest,
 ): Promise<AttemptResult> {
   const { header, sidecarUrl, signal } = request
--- a/packages/router/src/relay/callContext.ts
+++ b/packages/router/src/relay/callContext.ts
@@ -35,7 +35,7 @@
 }
 
 /** Finds the weight of a team in fair queues now, with its protected windows. */
-export function findShare(parameters: TeamParameters, wallNow: number): number {
+export function findTeamShare(parameters: TeamParameters, wallNow: number): number {
   const factors = parameters.protectedWindows
     .filter((window) => window.from <= wallNow && wallNow < window.until)
     .map((window) => window.shareFactor)
@@ -60,7 +60,7 @@
     path: context.path,
     contentType: context.contentType,
     priority: context.priority,
-    share: findShare(context.parameters, wallNow),
+    share: findTeamShare(context.parameters, wallNow),
     deadlineMs: deadline === undefined ? undefined : Math.max(0, deadline - now),
   }
 }
--- a/packages/router/src/relay/continuation.ts
+++ b/packages/router/src/relay/continuation.ts
@@ -44,7 +44,7 @@
 }
 
 /** Parses what was delivered; undefined when it cannot be continued, as with tool calls. */
-export function parseDelivered(payloads: readonly string[]): DeliveredStream | undefined {
+export function parseDeliveredChunks(payloads: readonly string[]): DeliveredStream | undefined {
   const chunks = payloads.filter((payload) => payload !== DONE_MARKER).map(parseChunk)
   const texts = chunks.map((chunk) => chunk && readText(chunk))
   const hasSeveral = chunks.some((chunk) => (chunk?.choices?.length ?? 0) > 1)
@@ -60,7 +60,7 @@
 }
 
 /** Gives a part of a continued stream the identity of the first part. */
-export function formatContinued(payload: string, delivered: DeliveredStream): string {
+export function formatContinuedChunk(payload: string, delivered: DeliveredStream): string {
   if (payload === DONE_MARKER || delivered.id === undefined) return payload
   const chunk = JSON.parse(payload) as StreamChunk
   return JSON.stringify({ ...chunk, id: delivered.id, created: delivered.created })
--- a/packages/router/src/relay/declines.ts
+++ b/packages/router/src/relay/declines.ts
@@ -4,7 +4,7 @@
 import type { RoutingDecision } from '../decide/serverSelector.js'
 import type { AttemptResult } from './attempt.js'
 import type { CallContext } from './callContext.js'
-import type { RelayParts } from './relayParts.js'
+import type { RelayDependencies } from './relayParts.js'
 
 /** Part of a request's state that declines change. */
 export interface DeclineState {
@@ -14,7 +14,7 @@
   /** Whether any attempt may have reached a backend server; then no refusal may say not run. */
   mayHaveRun: boolean
   /** Declines because the first token would take longer than the router expected. */
-  misses: number
+  latencyDeclines: number
 }
 
 /** Longest wait for a configuration that a sidecar already has, in ms. */
@@ -23,7 +23,7 @@
 
 /** Takes in a decline: learns from its hints, and leaves the backend server out or catches up. */
 export async function recordDecline(
-  parts: RelayParts,
+  parts: RelayDependencies,
   context: CallContext,
   state: DeclineState,
   server: BackendServer,
@@ -45,7 +45,7 @@
     if (isCaughtUp) return
   }
   if (decline.declined === 'longerThanExpected') {
-    state.misses += 1
+    state.latencyDeclines += 1
     return
   }
   // The hints just recorded name the incarnation that can be tried next.
@@ -60,8 +60,8 @@
  * Chooses the backend server to try next.
  * @throws SpoolgateError when none is left, with whether the request may have run.
  */
-export async function chooseNext(
-  parts: RelayParts,
+export async function chooseNextServer(
+  parts: RelayDependencies,
   context: CallContext,
   state: DeclineState,
   fleet: Fleet,
@@ -71,11 +71,11 @@
   const wanted = { request, team, parameters, target, chain, weightsVersion, session }
   const decision = await parts.serverSelector.choose({ ...wanted, fleet, excluded })
   if (decision) return decision
-  throw buildRefusal(state)
+  throw createUnavailableError(state)
 }
 
 /** Builds the refusal of a request for which no backend server is left. */
-export function buildRefusal(state: DeclineState): SpoolgateError {
+export function createUnavailableError(state: DeclineState): SpoolgateError {
   const { retryAfterMs, excluded, mayHaveRun } = state
   const seconds = Math.max(1, Math.ceil((retryAfterMs ?? MS_PER_SECOND) / MS_PER_SECOND))
   const options = { notRun: !mayHaveRun, retryAfterSeconds: seconds }
--- a/packages/router/src/relay/followDispatch.ts
+++ b/packages/router/src/relay/followDispatch.ts
@@ -5,8 +5,8 @@
 import type { CallHeader, DispatchState } from '@spoolgate/routing'
 import { resumeAttempt, type AttemptRequest, type AttemptResult } from './attempt.js'
 import type { CallContext } from './callContext.js'
-import type { RelayParts } from './relayParts.js'
-import { createBufferSink, type WholeAnswer } from './sinks.js'
+import type { RelayDependencies } from './relayParts.js'
+import { createBufferSink, type BufferedResponse } from './sinks.js'
 
 const ASK_TIMEOUT_MS = 1_000
 const ASK_TRIES = 5
@@ -16,7 +16,7 @@
 
 /** Asks a sidecar what became of a dispatch; undefined when it does not answer. */
 async function askAboutDispatch(
-  parts: RelayParts,
+  parts: RelayDependencies,
   server: BackendServer,
   dispatch: ClaimedDispatch,
 ): Promise<DispatchState | undefined> {
@@ -38,7 +38,7 @@
 
 /** What is known once a dispatch has been followed to its end. */
 export type DispatchOutcome =
-  | { readonly kind: 'answered'; readonly answer: WholeAnswer }
+  | { readonly kind: 'answered'; readonly answer: BufferedResponse }
   /** It did not run and never will; another dispatch may be given. */
   | { readonly kind: 'barred' }
   /** Nobody can tell whether it ran. */
@@ -47,7 +47,7 @@
   | { readonly kind: 'unreachable' }
 
 /** One dispatch that is being followed. */
-export interface FollowedDispatch {
+export interface DispatchAttempt {
   readonly server: BackendServer
   readonly dispatch: ClaimedDispatch
   readonly sink: ReturnType<typeof createBufferSink>
@@ -55,13 +55,13 @@
 }
 
 /** Prepares to follow a dispatch, as its sender or in another router's place. */
-export function followDispatch(
+export function buildDispatchAttempt(
   context: CallContext,
   server: BackendServer,
   dispatch: ClaimedDispatch,
   shared: Omit<CallHeader, 'attempt'>,
-  parts: RelayParts,
-): FollowedDispatch {
+  parts: RelayDependencies,
+): DispatchAttempt {
   const sink = createBufferSink()
   const { claim, number, incarnation } = dispatch
   const header: CallHeader = {
@@ -83,9 +83,9 @@
 }
 
 /** Settles a dispatch whose connection broke, by asking the sidecar. */
-export async function resolveLost(
-  parts: RelayParts,
-  followed: FollowedDispatch,
+export async function resolveInterruptedDispatch(
+  parts: RelayDependencies,
+  followed: DispatchAttempt,
   tries = RESOLVE_TRIES,
 ): Promise<DispatchOutcome> {
   if (tries === 0) return { kind: 'unreachable' }
@@ -103,21 +103,21 @@
       const sink = createBufferSink()
       const request = { ...followed.request, sink }
       const result = await resumeAttempt(parts, request)
-      return resolveResult(parts, { ...followed, sink, request }, result, tries - 1)
+      return resolveAttemptResult(parts, { ...followed, sink, request }, result, tries - 1)
     }
   }
 }
 
 /** Works out what an attempt of a dispatch came to. */
-export async function resolveResult(
-  parts: RelayParts,
-  followed: FollowedDispatch,
+export async function resolveAttemptResult(
+  parts: RelayDependencies,
+  followed: DispatchAttempt,
   result: AttemptResult,
   tries = RESOLVE_TRIES,
 ): Promise<DispatchOutcome> {
   switch (result.kind) {
     case 'finished': {
-      const answer = followed.sink.findAnswer()
+      const answer = followed.sink.findResponse()
       return answer ? { kind: 'answered', answer } : { kind: 'unknown' }
     }
     case 'declined':
@@ -125,6 +125,6 @@
     case 'failed':
       return result.notRun ? { kind: 'barred' } : { kind: 'unknown' }
     default:
-      return resolveLost(parts, followed, tries)
+      return resolveInterruptedDispatch(parts, followed, tries)
   }
 }
--- a/packages/router/src/relay/frameReader.ts
+++ b/packages/router/src/relay/frameReader.ts
@@ -5,7 +5,7 @@
 import { createParser, type EventSourceMessage } from 'eventsource-parser'
 
 /** Takes the parts of an answer as they arrive. */
-export interface AnswerSink {
+export interface ResponseSink {
   onHead(head: HeadFrame): void
   onData(data: string): void
   onBody(body: BodyFrame): void
@@ -29,7 +29,7 @@
 function takeFrame(
   event: EventSourceMessage,
   cursor: FrameCursor,
-  sink: AnswerSink,
+  sink: ResponseSink,
   invariants: Invariants,
 ): void {
   const sequence = Number(event.id)
@@ -50,7 +50,7 @@
 export async function readFrames(
   message: IncomingMessage,
   cursor: FrameCursor,
-  sink: AnswerSink,
+  sink: ResponseSink,
   invariants: Invariants,
 ): Promise<void> {
   const parser = createParser({
--- a/packages/router/src/relay/relayOnce.ts
+++ b/packages/router/src/relay/relayOnce.ts
@@ -14,13 +14,18 @@
 } from '@spoolgate/core'
 import { runAttempt } from './attempt.js'
 import { buildCallHeader, type CallContext } from './callContext.js'
-import { buildRefusal, chooseNext, recordDecline, type DeclineState } from './declines.js'
-import type { RelayParts } from './relayParts.js'
-import { sendAnswer, type WholeAnswer } from './sinks.js'
 import {
-  followDispatch,
-  resolveLost,
-  resolveResult,
+  createUnavailableError,
+  chooseNextServer,
+  recordDecline,
+  type DeclineState,
+} from './declines.js'
+import type { RelayDependencies } from './relayParts.js'
+import { sendBufferedResponse, type BufferedResponse } from './sinks.js'
+import {
+  buildDispatchAttempt,
+  resolveInterruptedDispatch,
+  resolveAttemptResult,
   type DispatchOutcome,
 } from './followDispatch.js'
 import { parseKeptAnswer, toKeptAnswer } from './keptAnswer.js'
@@ -29,7 +34,7 @@
 export interface IdempotencyKey {
   readonly key: string
   /** False when the router made the key, so that no earlier send can have used it. */
-  readonly isCallers: boolean
+  readonly isFromCaller: boolean
 }
 
 const STATUS_TIMEOUT_MS = 1_000
@@ -41,7 +46,7 @@
   return hash.update(context.body).digest('base64url')
 }
 
-function buildUnknownError(): SpoolgateError {
+function createOutcomeUnknownError(): SpoolgateError {
   return new SpoolgateError(
     'outcomeUnknown',
     'the request may or may not have run and will not be run again; check with the service itself',
@@ -50,7 +55,7 @@
 
 /** Finds which incarnation of a sidecar to name: from hints, or by asking it. */
 async function findIncarnation(
-  parts: RelayParts,
+  parts: RelayDependencies,
   server: BackendServer,
 ): Promise<Incarnation | undefined> {
   const known = parts.state.hints.find(server.id)?.hints.incarnation
@@ -70,7 +75,7 @@
 }
 
 async function openClaim(
-  parts: RelayParts,
+  parts: RelayDependencies,
   context: CallContext,
   state: OnceState,
   server: BackendServerId,
@@ -93,7 +98,7 @@
 
 /** Records in the claim what became of its dispatch. */
 async function settleClaim(
-  parts: RelayParts,
+  parts: RelayDependencies,
   dispatch: ClaimedDispatch,
   outcome: DispatchOutcome,
 ): Promise<void> {
@@ -111,7 +116,7 @@
 }
 
 async function runDispatch(
-  parts: RelayParts,
+  parts: RelayDependencies,
   context: CallContext,
   state: OnceState,
   fleet: Fleet,
@@ -119,18 +124,18 @@
   dispatch: ClaimedDispatch,
 ): Promise<DispatchOutcome> {
   const shared = buildCallHeader(context, fleet, parts.timers.now(), parts.timers.wallNow())
-  const followed = followDispatch(context, server, dispatch, shared, parts)
+  const followed = buildDispatchAttempt(context, server, dispatch, shared, parts)
   const result = await runAttempt(parts, followed.request)
   if (result.kind === 'declined') await recordDecline(parts, context, state, server, result)
   else if (result.kind !== 'finished') state.excluded.add(server.id)
   const { kind } = result
   parts.decisions.recordAttempt(context.request, { server: server.id, outcome: kind })
-  return resolveResult(parts, followed, result)
+  return resolveAttemptResult(parts, followed, result)
 }
 
 /** Follows a dispatch that another request, perhaps of another router, was given. */
 async function joinDispatch(
-  parts: RelayParts,
+  parts: RelayDependencies,
   context: CallContext,
   fleet: Fleet,
   dispatch: ClaimedDispatch,
@@ -138,16 +143,19 @@
   const server = fleet.backendServers.get(dispatch.server)
   if (!server) return { kind: 'unreachable' }
   const shared = buildCallHeader(context, fleet, parts.timers.now(), parts.timers.wallNow())
-  return resolveLost(parts, followDispatch(context, server, dispatch, shared, parts))
+  return resolveInterruptedDispatch(
+    parts,
+    buildDispatchAttempt(context, server, dispatch, shared, parts),
+  )
 }
 
 /** Takes in an outcome; returns the answer once there is one, throws what is final. */
 async function applyOutcome(
-  parts: RelayParts,
+  parts: RelayDependencies,
   state: OnceState,
   dispatch: ClaimedDispatch,
   outcome: DispatchOutcome,
-): Promise<WholeAnswer | undefined> {
+): Promise<BufferedResponse | undefined> {
   if (outcome.kind === 'unreachable') {
     throw new SpoolgateError(
       'stillRunning',
@@ -158,27 +166,29 @@
   const settled = settleClaim(parts, dispatch, outcome)
   if (outcome.kind === 'answered') {
     // The caller has waited enough: the sidecar still holds the answer if this router dies now.
-    parts.background(settled.catch(() => parts.logger.warn('claim.unsettled', { ...dispatch })))
+    parts.trackBackgroundWork(
+      settled.catch(() => parts.logger.warn('claim.unsettled', { ...dispatch })),
+    )
     return outcome.answer
   }
   if (outcome.kind === 'unknown') {
     state.mayHaveRun = true
     await settled.catch(() => parts.logger.warn('claim.unsettled', { ...dispatch }))
-    throw buildUnknownError()
+    throw createOutcomeUnknownError()
   }
   await settled
   return undefined
 }
 
 async function runClaimed(
-  parts: RelayParts,
+  parts: RelayDependencies,
   context: CallContext,
   state: OnceState,
-): Promise<WholeAnswer> {
+): Promise<BufferedResponse> {
   for (let dispatches = 0; dispatches < MAX_DISPATCHES; dispatches += 1) {
     const fleet = parts.config.current()
     if (!fleet) throw new SpoolgateError('controlUnavailable', 'no configuration yet; try later')
-    const { server } = (await chooseNext(parts, context, state, fleet)).chosen
+    const { server } = (await chooseNextServer(parts, context, state, fleet)).chosen
     const incarnation = await findIncarnation(parts, server)
     if (!incarnation) {
       state.excluded.add(server.id)
@@ -188,17 +198,17 @@
     const answer = await takeOpened(parts, context, state, fleet, server, opened)
     if (answer) return answer
   }
-  throw buildRefusal(state)
+  throw createUnavailableError(state)
 }
 
 async function takeOpened(
-  parts: RelayParts,
+  parts: RelayDependencies,
   context: CallContext,
   state: OnceState,
   fleet: Fleet,
   server: BackendServer,
   opened: OpenResult,
-): Promise<WholeAnswer | undefined> {
+): Promise<BufferedResponse | undefined> {
   switch (opened.kind) {
     case 'granted': {
       const { dispatch } = opened
@@ -224,13 +234,13 @@
         'this idempotency key was used with another body; choose a new key for a new request',
       )
     case 'unknown':
-      throw buildUnknownError()
+      throw createOutcomeUnknownError()
   }
 }
 
 /** Serves an unrepeatable request to its end. */
 export async function relayOnce(
-  parts: RelayParts,
+  parts: RelayDependencies,
   context: CallContext,
   key: IdempotencyKey,
 ): Promise<void> {
@@ -240,18 +250,18 @@
     excluded: new Set(),
     retryAfterMs: undefined,
     // An earlier send of the caller's key may have run; only the claim can tell.
-    mayHaveRun: key.isCallers,
-    misses: 0,
+    mayHaveRun: key.isFromCaller,
+    latencyDeclines: 0,
   }
   const team = context.team
   try {
     const work = runClaimed(parts, context, state)
-    parts.background(work.catch(() => {}))
+    parts.trackBackgroundWork(work.catch(() => {}))
     const answer = await work
     parts.instruments.requests.add(1, { team, policy: 'once', outcome: 'finished' })
     parts.decisions.recordOutcome(context.request, 'finished', undefined)
     context.response.setHeader('idempotency-key', key.key)
-    sendAnswer(context.response, answer)
+    sendBufferedResponse(context.response, answer)
   } catch (cause) {
     const error = toSpoolgateError(cause)
     const outcome = error.kind
--- a/packages/router/src/relay/relayParts.ts
+++ b/packages/router/src/relay/relayParts.ts
@@ -5,7 +5,7 @@
 import type { ServerSelector } from '../decide/serverSelector.js'
 import type { DecisionLog } from '../decide/decisionLog.js'
 import type { TeamLimits } from '../limits/teamLimits.js'
-import type { AttemptParts } from './attempt.js'
+import type { AttemptDependencies } from './attempt.js'
 
 /** Instruments of a router. */
 export interface RouterInstruments {
@@ -19,7 +19,7 @@
 }
 
 /** Parts shared by all requests of a router. */
-export interface RelayParts extends AttemptParts {
+export interface RelayDependencies extends AttemptDependencies {
   readonly config: ConfigFollower
   readonly control: ControlClient
   readonly serverSelector: ServerSelector
@@ -30,5 +30,5 @@
   readonly limits: TeamLimits
   readonly instruments: RouterInstruments
   /** Keeps the router open until work that outlives its caller is done. */
-  readonly background: (work: Promise<unknown>) => void
+  readonly trackBackgroundWork: (work: Promise<unknown>) => void
 }
--- a/packages/router/src/relay/relayRepeatable.ts
+++ b/packages/router/src/relay/relayRepeatable.ts
@@ -7,9 +7,14 @@
 import type { RoutingDecision } from '../decide/serverSelector.js'
 import { runAttempt, type AttemptResult } from './attempt.js'
 import { buildCallHeader, type CallContext } from './callContext.js'
-import { DONE_MARKER, parseDelivered } from './continuation.js'
-import { buildRefusal, chooseNext, recordDecline, type DeclineState } from './declines.js'
-import type { RelayParts } from './relayParts.js'
+import { DONE_MARKER, parseDeliveredChunks } from './continuation.js'
+import {
+  createUnavailableError,
+  chooseNextServer,
+  recordDecline,
+  type DeclineState,
+} from './declines.js'
+import type { RelayDependencies } from './relayParts.js'
 import { createStreamSink, type StreamSink } from './sinks.js'
 
 /** Choices that may be given up for a better one; the next is then claimed at any length. */
@@ -24,7 +29,7 @@
 /** Text to go on from, when part of the answer was delivered. */
 function findResumeText(state: RelayState): string | undefined {
   if (state.sink.delivered.length === 0) return undefined
-  const delivered = parseDelivered(state.sink.delivered)
+  const delivered = parseDeliveredChunks(state.sink.delivered)
   if (!delivered) {
     throw new SpoolgateError(
       'backendFailed',
@@ -42,7 +47,7 @@
 }
 
 /** Aborts when the caller leaves, or when no token has come within the bound. */
-function createAttemptSignal(parts: RelayParts, context: CallContext, timeoutMs: number) {
+function createAttemptSignal(parts: RelayDependencies, context: CallContext, timeoutMs: number) {
   const aborting = new AbortController()
   const abort = () => aborting.abort()
   context.callerSignal.addEventListener('abort', abort)
@@ -59,7 +64,7 @@
 }
 
 async function runOnce(
-  parts: RelayParts,
+  parts: RelayDependencies,
   context: CallContext,
   state: RelayState,
   decision: RoutingDecision,
@@ -75,7 +80,7 @@
     ...shared,
     attempt,
     hasResumeText: resumeText !== undefined,
-    acceptMs: state.misses < MAX_MISSES ? decision.acceptMs : undefined,
+    acceptMs: state.latencyDeclines < MAX_MISSES ? decision.acceptMs : undefined,
   }
   const { firstTokenTimeoutMs, wholeAnswerTimeoutMs } = fleet.routing
   const timeoutMs = context.isStream ? firstTokenTimeoutMs : wholeAnswerTimeoutMs
@@ -121,7 +126,7 @@
 
 /** Takes in what an attempt came to; true when the request is served or its caller is gone. */
 async function applyResult(
-  parts: RelayParts,
+  parts: RelayDependencies,
   context: CallContext,
   state: RelayState,
   decision: RoutingDecision,
@@ -159,27 +164,27 @@
   const { sink } = state
   if (sink.delivered.length === 0) return false
   if (sink.delivered.at(-1) !== DONE_MARKER) {
-    if (!parseDelivered(sink.delivered)?.isFinished) return false
+    if (!parseDeliveredChunks(sink.delivered)?.isFinished) return false
     sink.onData(DONE_MARKER)
   }
   sink.finish()
   return true
 }
 
-function checkRetry(parts: RelayParts, context: CallContext, state: RelayState): void {
+function checkRetry(parts: RelayDependencies, context: CallContext, state: RelayState): void {
   const fleet = parts.config.current()
   if (state.attempts === 0) return
   const isSpent = state.attempts >= (fleet?.routing.maxAttempts ?? 1)
-  if (isSpent || !parts.budget.takeRetry()) throw buildRefusal(state)
+  if (isSpent || !parts.budget.takeRetry()) throw createUnavailableError(state)
   parts.instruments.retries.add(1, { team: context.team })
 }
 
-async function relayAttempts(parts: RelayParts, context: CallContext, state: RelayState) {
+async function relayAttempts(parts: RelayDependencies, context: CallContext, state: RelayState) {
   parts.budget.addFirstTry()
   for (;;) {
     const fleet = parts.config.current()
     if (!fleet) throw new SpoolgateError('controlUnavailable', 'no configuration yet; try later')
-    const decision = await chooseNext(parts, context, state, fleet)
+    const decision = await chooseNextServer(parts, context, state, fleet)
     checkRetry(parts, context, state)
     state.attempts += 1
     const result = await runOnce(parts, context, state, decision)
@@ -188,7 +193,10 @@
 }
 
 /** Relays a repeatable request to its end. */
-export async function relayRepeatable(parts: RelayParts, context: CallContext): Promise<void> {
+export async function relayRepeatable(
+  parts: RelayDependencies,
+  context: CallContext,
+): Promise<void> {
   const policy = parts.serverSelector.findPolicy(context)
   const state: RelayState = {
     sink: createStreamSink({
@@ -203,7 +211,7 @@
     attempts: 0,
     retryAfterMs: undefined,
     mayHaveRun: false,
-    misses: 0,
+    latencyDeclines: 0,
     firstTokenMs: undefined,
   }
   try {
--- a/packages/router/src/relay/sinks.ts
+++ b/packages/router/src/relay/sinks.ts
@@ -2,19 +2,19 @@
 import type { ServerResponse } from 'node:http'
 import { formatErrorBody, type SpoolgateError } from '@spoolgate/core'
 import type { BodyFrame, HeadFrame } from '@spoolgate/routing'
-import type { AnswerSink } from './frameReader.js'
-import { formatContinued, type DeliveredStream } from './continuation.js'
+import type { ResponseSink } from './frameReader.js'
+import { formatContinuedChunk, type DeliveredStream } from './continuation.js'
 
 /** An answer held in memory. */
-export interface WholeAnswer {
+export interface BufferedResponse {
   readonly head: HeadFrame
   readonly body: Buffer
 }
 
 /** Sink that keeps the answer until it is whole. */
-export interface BufferSink extends AnswerSink {
+export interface BufferSink extends ResponseSink {
   /** The whole answer; undefined before a head has arrived. */
-  findAnswer(): WholeAnswer | undefined
+  findResponse(): BufferedResponse | undefined
 }
 
 const EVENT_STREAM = 'text/event-stream'
@@ -41,12 +41,12 @@
     onData: (data) => void parts.push(Buffer.from(formatEvent(data))),
     onBody: (body) => void parts.push(decodeBody(body)),
     flush: () => undefined,
-    findAnswer: () => head && { head, body: Buffer.concat(parts) },
+    findResponse: () => head && { head, body: Buffer.concat(parts) },
   }
 }
 
 /** Sends a whole answer to a caller. */
-export function sendAnswer(response: ServerResponse, answer: WholeAnswer): void {
+export function sendBufferedResponse(response: ServerResponse, answer: BufferedResponse): void {
   response.writeHead(answer.head.status, {
     'content-type': answer.head.contentType,
     'content-length': answer.body.length,
@@ -55,7 +55,7 @@
 }
 
 /** Sink that relays a stream to a caller. */
-export interface StreamSink extends AnswerSink {
+export interface StreamSink extends ResponseSink {
   /** Payloads that the caller was sent. */
   readonly delivered: readonly string[]
   /** True once the caller has seen the head of a stream. */
@@ -115,7 +115,7 @@
     },
     onData: (data) => {
       if (delivered.length === 0) onFirstToken()
-      const payload = resumed ? formatContinued(data, resumed) : data
+      const payload = resumed ? formatContinuedChunk(data, resumed) : data
       delivered.push(payload)
       pending += formatEvent(payload)
     },
@@ -125,8 +125,8 @@
     },
     flush: () => (writePending() || response.destroyed ? undefined : waitUntilDrained()),
     finish: () => {
-      const answer = whole.findAnswer()
-      if (isWhole && answer) return sendAnswer(response, answer)
+      const answer = whole.findResponse()
+      if (isWhole && answer) return sendBufferedResponse(response, answer)
       writePending()
       response.end()
     },
--- a/packages/router/src/server/callerRoutes.ts
+++ b/packages/router/src/server/callerRoutes.ts
@@ -15,7 +15,7 @@
 } from '@spoolgate/core'
 import { hashText, type PrefixChain } from '@spoolgate/routing'
 import type { CallContext } from '../relay/callContext.js'
-import type { RelayParts } from '../relay/relayParts.js'
+import type { RelayDependencies } from '../relay/relayParts.js'
 import { relayOnce } from '../relay/relayOnce.js'
 import { relayRepeatable } from '../relay/relayRepeatable.js'
 import {
@@ -33,7 +33,7 @@
 
 /** Options of {@link createCallerRoutes}. */
 export interface CallerRoutesOptions {
-  readonly parts: RelayParts
+  readonly parts: RelayDependencies
   readonly limits: BodyLimits
   /** Whether this router is being stopped, so that it begins nothing more. */
   readonly isStopping: () => boolean
@@ -126,7 +126,7 @@
         )
       }
       if (!isOnce) return await relayRepeatable(parts, context)
-      const key = { key: given ?? createUniqueId('auto'), isCallers: given !== undefined }
+      const key = { key: given ?? createUniqueId('auto'), isFromCaller: given !== undefined }
       return await relayOnce(parts, context, key)
     } finally {
       release()
--- a/packages/router/src/server/routerServer.ts
+++ b/packages/router/src/server/routerServer.ts
@@ -30,7 +30,7 @@
 import { createServerSelector, type ServerSelectorOptions } from '../decide/serverSelector.js'
 import { createDecisionLog } from '../decide/decisionLog.js'
 import { createTeamLimits } from '../limits/teamLimits.js'
-import type { RelayParts, RouterInstruments } from '../relay/relayParts.js'
+import type { RelayDependencies, RouterInstruments } from '../relay/relayParts.js'
 import { createCallerRoutes } from './callerRoutes.js'
 
 /** Options of {@link createRouter}. */
@@ -105,8 +105,8 @@
   return {
     hints: createHintTable(),
     rendezvous: createRendezvous(),
-    widths: createSubsetWidths(),
-    turns: new Map(),
+    subsetWidths: createSubsetWidths(),
+    nextTurns: new Map(),
   }
 }
 
@@ -142,7 +142,7 @@
   const background = createBackground()
   const control = createControlClient({ urls: options.control, client, timers })
   const limits = createTeamLimits({ router: instance, control, timers, logger })
-  const parts: RelayParts = {
+  const parts: RelayDependencies = {
     limits,
     client,
     timers,
@@ -168,7 +168,7 @@
     ejection,
     budget: createRetryBudget(() => findRouting()?.retryBudgetRatio ?? DEFAULT_RETRY_RATIO),
     instruments: createInstruments(metrics),
-    background: background.add,
+    trackBackgroundWork: background.add,
   }
 
   const serveExplanation = ({ response, params }: HttpExchange) => {
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -44,7 +44,7 @@
   listTableProblems,
   type CacheStore,
   type CallerBounds,
-  type EngineFacts,
+  type EngineCapacity,
   type QuotaUnit,
   type Repeatability,
   type RouteRule,
--- a/packages/routing/src/policies/baselines.ts
+++ b/packages/routing/src/policies/baselines.ts
@@ -12,8 +12,8 @@
   rank: (input) => {
     const allowed = listAllowed(input)
     const target = input.servers[0]?.serves ?? ''
-    const turn = input.state.turns.get(target) ?? 0
-    input.state.turns.set(target, turn + 1)
+    const turn = input.state.nextTurns.get(target) ?? 0
+    input.state.nextTurns.set(target, turn + 1)
     return allowed.map((_, offset) => ({
       server: allowed[(turn + offset) % allowed.length],
       score: offset,
--- a/packages/routing/src/policies/expectedFirstToken.ts
+++ b/packages/routing/src/policies/expectedFirstToken.ts
@@ -49,7 +49,7 @@
 /** Places a prompt: its subset by the outer levels, its home inside by the inner one. */
 function findPlacement(input: PolicyInput): Placement {
   const { levels } = input.chain
-  const { rendezvous, widths } = input.state
+  const { rendezvous, subsetWidths: widths } = input.state
   const outer = levels[Math.min(OUTER_LEVEL, levels.length) - 1]
   const inner = levels[Math.min(INNER_LEVEL, levels.length) - 1]
   if (!outer || !inner) return { outer, inner, subset: new Set(), home: undefined }
@@ -114,7 +114,7 @@
   const matched = known ?? presumeMatched(server, place)
   const recomputeMs = (input.chain.totalTokens - matched) / rate
   const queueMs = estimateQueueMs(input, server, rate)
-  const waitMs = queueMs + input.distanceMs(server) + input.slowStartMs(server.id)
+  const waitMs = queueMs + input.networkDelayMs(server) + input.slowStartPenaltyMs(server.id)
   const firstTokenMs = waitMs + recomputeMs
   const { tailWeight } = input.parameters
   const isOutside = place.outer !== undefined && !place.subset.has(server) && matched === 0
@@ -124,7 +124,7 @@
   const overload = Math.max(0, calls - bound) * OVERLOAD_PENALTY_MS
   const score = tailWeight * firstTokenMs + (1 - tailWeight) * (recomputeMs + spreadMs) + overload
   const reason = `queue=${queueMs.toFixed(0)}ms,matched=${Math.round(matched)},calls=${calls}`
-  return { server, score, reason, firstTokenMs, isGuess: known === undefined }
+  return { server, score, reason, firstTokenMs, isMatchEstimated: known === undefined }
 }
 
 function recordDemand(input: PolicyInput, place: Placement): void {
@@ -135,7 +135,7 @@
   })
   const shortest = waits.reduce((best, wait) => (wait.queueMs < best.queueMs ? wait : best))
   const spreadMs = place.outer.tokens / shortest.rate
-  input.state.widths.record(place.outer.hash, shortest.queueMs, spreadMs, input.now)
+  input.state.subsetWidths.record(place.outer.hash, shortest.queueMs, spreadMs, input.now)
 }
 
 /** Candidates that are asked before a choice, or when it would rest on a guess. */
@@ -144,7 +144,7 @@
 /** Estimates the first token everywhere and takes the cheapest. */
 export const expectedFirstToken: Policy = {
   probes: 0,
-  probesInDoubt: PROBES,
+  probesWhenUncertain: PROBES,
   rank: (input) => {
     const place = findPlacement(input)
     recordDemand(input, place)
--- a/packages/routing/src/policies/policy.ts
+++ b/packages/routing/src/policies/policy.ts
@@ -10,9 +10,9 @@
 export interface PolicyState {
   readonly hints: HintTable
   readonly rendezvous: Rendezvous
-  readonly widths: SubsetWidths
+  readonly subsetWidths: SubsetWidths
   /** Next turn by model or group, for policies that go round. */
-  readonly turns: Map<string, number>
+  readonly nextTurns: Map<string, number>
 }
 
 /** One decision to make. */
@@ -23,9 +23,9 @@
   /** Whether a server may be chosen at all. */
   readonly isAllowed: (server: BackendServer) => boolean
   /** Time that the distance to a server adds, in ms. */
-  readonly distanceMs: (server: BackendServer) => number
+  readonly networkDelayMs: (server: BackendServer) => number
   /** Penalty for a server that has just come back, in ms. */
-  readonly slowStartMs: (server: BackendServerId) => number
+  readonly slowStartPenaltyMs: (server: BackendServerId) => number
   readonly parameters: TeamParameters
   /** Load over the mean at which a candidate is passed over. */
   readonly boundedLoadFactor: number
@@ -45,7 +45,7 @@
   /** Estimated time to the first token, in ms; undefined where the policy makes none. */
   readonly firstTokenMs?: number
   /** Whether what is cached there is only presumed. @default false */
-  readonly isGuess?: boolean
+  readonly isMatchEstimated?: boolean
 }
 
 /** A routing policy. */
@@ -53,7 +53,7 @@
   /** Candidates that are asked before the choice; 0 sends the request at once. */
   readonly probes: number
   /** Candidates that are asked when the best one rests on a guess, in a small fleet. @default 0 */
-  readonly probesInDoubt?: number
+  readonly probesWhenUncertain?: number
   /** Ranks the allowed servers, best first. */
   rank(input: PolicyInput): RankedCandidate[]
 }
--- a/packages/routing/src/table/routingTable.ts
+++ b/packages/routing/src/table/routingTable.ts
@@ -45,7 +45,7 @@
 }
 
 /** Memory and limits of the model engines of a group. */
-export interface EngineFacts {
+export interface EngineCapacity {
   /** Requests that one engine works on at a time. */
   readonly slots: number
   /** Tokens that fit into an engine's KV cache. */
@@ -64,7 +64,7 @@
   /** Connections that one backend server accepts from all instances together. */
   readonly maxConnections: number
   /** Undefined for a plain service. */
-  readonly engine: EngineFacts | undefined
+  readonly engine: EngineCapacity | undefined
 }
 
 /** A store of KV cache that engines can fetch from and save to. */
--- a/packages/spoolgate/src/node/bench/scaleBench.ts
+++ b/packages/spoolgate/src/node/bench/scaleBench.ts
@@ -136,8 +136,8 @@
   return {
     hints: createHintTable(),
     rendezvous: createRendezvous(),
-    widths: createSubsetWidths(),
-    turns: new Map(),
+    subsetWidths: createSubsetWidths(),
+    nextTurns: new Map(),
   }
 }
 
@@ -172,8 +172,8 @@
       chain,
       servers,
       isAllowed: () => true,
-      distanceMs: () => 1,
-      slowStartMs: () => 0,
+      networkDelayMs: () => 1,
+      slowStartPenaltyMs: () => 0,
       parameters: DEFAULT_TEAM_PARAMETERS,
       boundedLoadFactor: 1.5,
       state,
