--- a/packages/router/src/relay/declines.ts
+++ b/packages/router/src/relay/declines.ts
@@ -4,7 +4,7 @@
 import type { RoutingDecision } from '../decide/serverSelector.js'
 import type { AttemptResult } from './attempt.js'
 import type { CallContext } from './callContext.js'
-import type { RelayDependencies } from './relayParts.js'
+import type { RelayDependencies } from './relayDependencies.js'
 
 /** Part of a request's state that declines change. */
 export interface DeclineState {
--- a/packages/router/src/relay/followDispatch.ts
+++ b/packages/router/src/relay/dispatchOutcome.ts
@@ -5,7 +5,7 @@
 import type { CallHeader, DispatchState } from '@spoolgate/routing'
 import { resumeAttempt, type AttemptRequest, type AttemptResult } from './attempt.js'
 import type { CallContext } from './callContext.js'
-import type { RelayDependencies } from './relayParts.js'
+import type { RelayDependencies } from './relayDependencies.js'
 import { createBufferSink, type BufferedResponse } from './sinks.js'
 
 const ASK_TIMEOUT_MS = 1_000
--- a/packages/router/src/relay/relayOnce.ts
+++ b/packages/router/src/relay/relayOnce.ts
@@ -20,14 +20,14 @@
   recordDecline,
   type DeclineState,
 } from './declines.js'
-import type { RelayDependencies } from './relayParts.js'
+import type { RelayDependencies } from './relayDependencies.js'
 import { sendBufferedResponse, type BufferedResponse } from './sinks.js'
 import {
   buildDispatchAttempt,
   resolveInterruptedDispatch,
   resolveAttemptResult,
   type DispatchOutcome,
-} from './followDispatch.js'
+} from './dispatchOutcome.js'
 import { parseKeptAnswer, toKeptAnswer } from './keptAnswer.js'
 
 /** Idempotency key of a request. */
--- a/packages/router/src/relay/relayRepeatable.ts
+++ b/packages/router/src/relay/relayRepeatable.ts
@@ -14,7 +14,7 @@
   recordDecline,
   type DeclineState,
 } from './declines.js'
-import type { RelayDependencies } from './relayParts.js'
+import type { RelayDependencies } from './relayDependencies.js'
 import { createStreamSink, type StreamSink } from './sinks.js'
 
 /** Choices that may be given up for a better one; the next is then claimed at any length. */
--- a/packages/router/src/server/callerRoutes.ts
+++ b/packages/router/src/server/callerRoutes.ts
@@ -15,7 +15,7 @@
 } from '@spoolgate/core'
 import { hashText, type PrefixChain } from '@spoolgate/routing'
 import type { CallContext } from '../relay/callContext.js'
-import type { RelayDependencies } from '../relay/relayParts.js'
+import type { RelayDependencies } from '../relay/relayDependencies.js'
 import { relayOnce } from '../relay/relayOnce.js'
 import { relayRepeatable } from '../relay/relayRepeatable.js'
 import {
--- a/packages/router/src/server/routerServer.ts
+++ b/packages/router/src/server/routerServer.ts
@@ -30,7 +30,7 @@
 import { createServerSelector, type ServerSelectorOptions } from '../decide/serverSelector.js'
 import { createDecisionLog } from '../decide/decisionLog.js'
 import { createTeamLimits } from '../limits/teamLimits.js'
-import type { RelayDependencies, RouterInstruments } from '../relay/relayParts.js'
+import type { RelayDependencies, RouterInstruments } from '../relay/relayDependencies.js'
 import { createCallerRoutes } from './callerRoutes.js'
 
 /** Options of {@link createRouter}. */
