--- a/packages/control/src/__tests__/feedSource.spec.ts
+++ b/packages/control/src/__tests__/feedSource.spec.ts
@@ -12,12 +12,12 @@
 
 const TERM = 3
 
-/** A leader that learns what engines keep when `tell` is called. */
+/** A leader that learns the cache content of engines when `resolveCached` is called. */
 function createLeader() {
   let isKnown = false
-  let tell = () => {}
-  const known = new Promise<void>((resolve) => {
-    tell = () => {
+  let resolveCached = () => {}
+  const cached = new Promise<void>((resolve) => {
+    resolveCached = () => {
       isKnown = true
       resolve()
     }
@@ -35,20 +35,25 @@
     machine,
     timers,
     quotas: createUnlimitedQuotaBuckets(timers),
-    blame: createQuarantineCoordinator({ member, quarantine, timers, logger: createQuietLogger() }),
+    quarantine: createQuarantineCoordinator({
+      member,
+      quarantine,
+      timers,
+      logger: createQuietLogger(),
+    }),
     tables: { findUpdate: () => undefined },
     findConditions: () => ({ loading: [], expired: [], silent: [], stores: [] }),
     conditionChanges: NEVER,
-    kept: {
-      takePiece: () => ({
+    cacheDirectory: {
+      readPage: () => ({
         placements: isKnown ? [['e1', 1, 11, 60]] : [],
-        position: { after: '', left: 0 },
+        cursor: { after: '', left: 0 },
       }),
     },
-    waitForKept: () => known,
+    waitForCacheDirectory: () => cached,
     stopping: NEVER,
   })
-  return { source, tell }
+  return { source, resolveCached: resolveCached }
 }
 
 function buildRequest(known: Partial<FeedRequest>): FeedRequest {
@@ -72,8 +77,8 @@
 const response = new EventEmitter() as ServerResponse
 
 describe('the feed of a new leader', () => {
-  it('gives a router its first answer only once it knows what is kept', async () => {
-    const { source, tell } = createLeader()
+  it('delays its first reply to a router until the cache content is known', async () => {
+    const { source, resolveCached: tell } = createLeader()
     let kept: unknown
     const asked = source.answer(buildRequest({}), response).then((reply) => (kept = reply.kept))
     await settle()
@@ -83,7 +88,7 @@
     expect(kept).to.deep.equal([['e1', 1, 11, 60]])
   })
 
-  it('keeps nobody waiting that was answered before', async () => {
+  it('does not delay replies to routers that it has answered before', async () => {
     const { source } = createLeader()
     const request = buildRequest({ term: TERM, keptSeen: 5, revision: 9 })
     expect((await source.answer(request, response)).keptSeen).to.equal(0)
--- a/packages/control/src/__tests__/routerRecordStubs.ts
+++ b/packages/control/src/__tests__/routerRecordStubs.ts
@@ -1,7 +1,7 @@
 /** Stubs of the records that a router supplies to its feed follower, for followers without traffic. */
 import type { TimerService } from '@spoolgate/core'
 import { createQuotaBuckets, type QuotaBuckets } from '../registry/quotaBuckets.js'
-import type { LimitRecord, QuotaRecord } from '../registry/feedFollower.js'
+import type { LimitRecord, QuotaRecord } from '../registry/feedClient.js'
 
 /** Limit record without server limits. */
 export const NO_LIMITS: LimitRecord = {
--- a/packages/control/src/__tests__/tableFetch.spec.ts
+++ b/packages/control/src/__tests__/tableFetcher.spec.ts
@@ -6,7 +6,7 @@
   type HttpClient,
 } from '@spoolgate/core'
 import { expect } from 'chai'
-import { createTableFetch } from '../registry/tableFetch.js'
+import { createTableFetcher } from '../registry/tableFetcher.js'
 import type { TableRequest } from '../registry/tableSource.js'
 import { applyTableUpdate, buildTableUpdate, type HeldTable } from '../table/tableUpdate.js'
 
@@ -16,7 +16,7 @@
   document: `{"v":${version}}${'{"same":1}'.repeat(50)}`,
 })
 
-/** A router that fetches tables from instances which answer as `answer` says. */
+/** A router that fetches tables from instances that reply with the result of `answer`. */
 function createRouter(
   answer: (request: TableRequest, url: string) => unknown,
   first: HeldTable | undefined,
@@ -30,7 +30,7 @@
     asked.push(json)
     return answer(json, url)
   }) as HttpClient['sendJson']
-  const fetch = createTableFetch({
+  const fetcher = createTableFetcher({
     listInstances: () => ['http://a', 'http://b', 'http://c'],
     client: { sendJson } as HttpClient,
     timers,
@@ -50,35 +50,42 @@
       for (let turn = 0; turn < 4; turn += 1) await new Promise((resolve) => setImmediate(resolve))
     }
   }
-  return { fetch, run, asked, lines, held: () => held, put: (next: HeldTable) => (held = next) }
+  return {
+    fetcher,
+    run,
+    asked,
+    lines,
+    held: () => held,
+    put: (next: HeldTable) => (held = next),
+  }
 }
 
 describe('a router that fetches a large table', () => {
-  it('asks the next instance where one does not have it yet', async () => {
+  it('asks the next instance if one does not have the version yet', async () => {
     const newest = buildTable(8)
     const router = createRouter((_request, url) => {
       if (url.startsWith('http://c')) return buildTableUpdate(undefined, newest)
       throw new SpoolgateError('controlUnavailable', 'no newer table here yet')
     }, buildTable(7))
-    router.fetch.want(8)
+    router.fetcher.requestVersion(8)
     await router.run(500)
     expect(router.held()).to.deep.equal(newest)
   })
 
-  it('goes on to a version that is reported while it fetches one', async () => {
+  it('also fetches a version that is reported during a fetch', async () => {
     let newest = 8
     const router = createRouter(({ heldVersion }) => {
       const update = buildTableUpdate(buildTable(heldVersion), buildTable(newest))
-      if (newest === 8) queueMicrotask(() => router.fetch.want(9))
+      if (newest === 8) queueMicrotask(() => router.fetcher.requestVersion(9))
       newest = 9
       return update
     }, buildTable(7))
-    router.fetch.want(8)
+    router.fetcher.requestVersion(8)
     await router.run(500)
     expect(router.held()?.version).to.equal(9)
   })
 
-  it('asks for the whole table once an update does not fit, and says so', async () => {
+  it('requests the full table after an update that does not apply, and logs an error', async () => {
     const router = createRouter(
       ({ heldVersion }) =>
         heldVersion === -1
@@ -86,20 +93,20 @@
           : { ...buildTableUpdate(buildTable(7), buildTable(8)), digest: 'wrong' },
       buildTable(7),
     )
-    router.fetch.want(8)
+    router.fetcher.requestVersion(8)
     await router.run(2_000)
     expect(router.held()?.version).to.equal(8)
     expect(router.asked.map(({ heldVersion }) => heldVersion)).to.deep.equal([7, -1])
     expect(router.lines.filter((line) => line.includes('table.unfit'))).to.have.length(1)
   })
 
-  it('drops an update that the feed has overtaken', async () => {
+  it('discards an update that is older than the table from the feed', async () => {
     const router = createRouter(({ heldVersion }) => {
       const update = buildTableUpdate(buildTable(heldVersion), buildTable(8))
       router.put(buildTable(9))
       return update
     }, buildTable(7))
-    router.fetch.want(8)
+    router.fetcher.requestVersion(8)
     await router.run(500)
     expect(router.held()?.version).to.equal(9)
     expect(router.lines).to.have.length(0)
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -37,12 +37,12 @@
   OrderOutcome,
 } from './registry/engineClient.js'
 export {
-  createFeedFollower,
-  type FeedFollower,
+  createFeedClient,
+  type FeedClient,
   type LimitRecord,
   type ObservedLimits,
   type QuotaRecord,
-} from './registry/feedFollower.js'
+} from './registry/feedClient.js'
 export { createQuotaBuckets, type QuotaBuckets } from './registry/quotaBuckets.js'
 export {
   CREDIT_TTL_MS,
@@ -70,16 +70,16 @@
   type InterruptedSend,
   type SuspectedRequest,
 } from './quarantine/crashReport.js'
-export type { FleetView } from './registry/heldFleet.js'
-export type { CacheCalls, CacheNews } from './registry/cacheWatch.js'
-export type { KeptPart } from './registry/keptParts.js'
+export type { FleetView } from './registry/fleetReplica.js'
+export type { CacheClient, CacheEvents } from './registry/cacheWatch.js'
+export type { CacheEntry } from './registry/cacheDirectory.js'
 export type {
-  KeptPlacement,
+  CachedPlacement,
   Placement,
   ServerLoad,
   ServerLoads,
-  StoreLife,
-  LimitNews,
+  ReachableStore,
+  AssignedLimit,
   LimitReport,
   LimitsUpdate,
 } from './registry/feed.js'
--- a/packages/control/src/registry/cacheWatch.ts
+++ b/packages/control/src/registry/cacheWatch.ts
@@ -1,6 +1,6 @@
 /**
- * What engines and stores of KV cache keep, and which stores answer in which life. The leader keeps
- * one waiting call open to each; the feed reports it to routers.
+ * Tracks the cache content of engines and KV cache stores, and the epoch of each store that responds. The leader keeps
+ * one long poll open to each; the feed reports the content to routers.
  */
 import { toSpoolgateError, waitFor, type Logger, type TimerService } from '@spoolgate/core'
 import {
@@ -15,248 +15,253 @@
 import { setMaxListeners } from 'node:events'
 import type { RaftMember } from '../raft/types.js'
 import type { ControlMachine } from '../state/controlMachine.js'
-import type { Placement, StoreLife } from './feed.js'
-import type { KnownTable } from './knownTable.js'
-import { createKeptParts, type CachePlace, type KeptPart, type KeptParts } from './keptParts.js'
+import type { Placement, ReachableStore } from './feed.js'
+import type { DecodedTable } from './decodedTable.js'
+import {
+  createCacheDirectory,
+  type CacheLocation,
+  type CacheEntry,
+  type CacheDirectory,
+} from './cacheDirectory.js'
 
-/** Speaks to what keeps KV cache; deployments bring their own way. */
-export interface CacheCalls {
+/** Client of the cache API of engines and stores; each deployment supplies its own implementation. */
+export interface CacheClient {
   /**
-   * Waits at an engine or store until something changed there after `after`, or for a while.
-   * @throws ConnectionError or SpoolgateError when there is no readable answer.
+   * Long-polls an engine or store for changes after sequence number `after`.
+   * @throws ConnectionError or SpoolgateError if there is no readable response.
    */
-  waitForChanges(address: string, after: number, signal: AbortSignal): Promise<CacheNews>
+  waitForChanges(address: string, after: number, signal: AbortSignal): Promise<CacheEvents>
   /**
-   * Fetches the whole list; it holds up the work there.
-   * @throws ConnectionError or SpoolgateError when there is no readable answer.
+   * Fetches the full cache content; this blocks other work of the engine or store.
+   * @throws ConnectionError or SpoolgateError if there is no readable response.
    */
-  listParts(address: string, signal: AbortSignal): Promise<CacheList>
+  fetchSnapshot(address: string, signal: AbortSignal): Promise<CacheSnapshot>
 }
 
-/** What an engine or store keeps. */
-export interface CacheList {
+/** Full cache content of an engine or store. */
+export interface CacheSnapshot {
   /** Changes with each restart. */
   readonly epoch: number
-  /** Number after which a call waits for changes since. */
+  /** Sequence number from which to wait for later changes. */
   readonly next: number
-  readonly parts: readonly KeptPart[]
+  readonly parts: readonly CacheEntry[]
 }
 
-/** What an engine or store says of its changes. */
-export interface CacheNews {
+/** Cache changes of an engine or store. */
+export interface CacheEvents {
   /** Changes with each restart. */
   readonly epoch: number
-  /** Number after which the next call waits for changes. */
+  /** Sequence number from which the next call waits for changes. */
   readonly next: number
-  /** Whether changes before these are missing. */
+  /** Whether changes before these were lost. */
   readonly hasGap: boolean
-  readonly changes: readonly KeptPart[]
+  readonly changes: readonly CacheEntry[]
 }
 
 /** Options of {@link createCacheWatch}. */
 export interface CacheWatchOptions {
   readonly member: RaftMember
   readonly machine: ControlMachine
-  readonly calls: CacheCalls
-  readonly table: Pick<KnownTable, 'current' | 'isKnownGroup'>
+  readonly client: CacheClient
+  readonly table: Pick<DecodedTable, 'current' | 'isKnownGroup'>
   readonly timers: TimerService
   readonly logger: Logger
-  /** Called with what is to be reported to routers. */
-  readonly onKept: (placements: readonly Placement[]) => void
+  /** Called with the cache changes to report to routers. */
+  readonly onCacheChanges: (placements: readonly Placement[]) => void
 }
 
-/** The watch; see {@link createCacheWatch}. */
+/** See {@link createCacheWatch}. */
 export interface CacheWatch {
-  /** Stores that answered last time. */
-  listLives(): readonly StoreLife[]
-  /** What is known to be kept. */
-  readonly kept: Pick<KeptParts, 'takePiece'>
-  /** Waits until every place has answered once, or for {@link FIRST_ANSWERS_MS}. */
+  /** Stores that answered the last call. */
+  listReachableStores(): readonly ReachableStore[]
+  /** Known cache content. */
+  readonly directory: Pick<CacheDirectory, 'readPage'>
+  /** Waits until every engine and store has answered once, at most {@link FIRST_ANSWERS_TIMEOUT_MS}. */
   waitForFirstAnswers(): Promise<void>
-  /** Emits when the lives of stores changed. */
+  /** Emits when the epoch of a store changes. */
   readonly changes: Observable<void>
   close(): Promise<void>
 }
 
-/** Time between two looks at what there is to watch, in ms. */
-const LOOK_PERIOD_MS = 300
-/** Pause between two calls to one place, in ms: what routers know is about this old. */
+/** Period of refreshing the set of watched engines and stores, in ms. */
+const REFRESH_PERIOD_MS = 300
+/** Pause between two calls to one cache, in ms; it determines how stale the routers' cache state is. */
 const PAUSE_MS = 100
-/** Added to the pause for each place, in ms, so that the leader makes 60 calls a second at most. */
-const PAUSE_PER_PLACE_MS = 16
+/** Added to the pause per watched cache, in ms, so that the leader makes at most 60 calls per second. */
+const PAUSE_PER_CACHE_MS = 16
 /**
- * Longest wait for the first answers of all places, in ms; they come within 15 ms of an engine that
- * is alive. Routers that start after a loss of everything choose by what is kept, not by nothing:
- * else they had nine tenths of all prompt tokens read again in the seconds after it.
+ * Maximum wait for the first answers of all caches, in ms; a running engine answers within 15 ms. Routers that start
+ * after a total outage need the cache content to choose servers: without it, nine tenths of all prompt tokens were
+ * prefilled again in the following seconds.
  */
-const FIRST_ANSWERS_MS = 100
-/** Pause after a place did not answer, in ms. */
-const FAILED_PAUSE_MS = 300
+const FIRST_ANSWERS_TIMEOUT_MS = 100
+/** Pause after a failed call, in ms. */
+const RETRY_PAUSE_MS = 300
 /**
- * Whole lists that are asked for at the same time: 23 took a new leader, on half of a third of a core,
- * 0.31 s, in which it sent no heartbeats. By that slope 16 take it 0.08 s on half of 0.86 of a core.
+ * Maximum concurrent snapshot requests. 23 snapshots kept a new leader with half of a third of a core busy for 0.31 s,
+ * during which it sent no heartbeats. Extrapolated, 16 take 0.08 s with half of 0.86 of a core.
  */
-const LISTS_AT_ONCE = 16
-/** Engines up to which the leader watches them; beyond, their events would outgrow its part. */
+const MAX_CONCURRENT_SNAPSHOTS = 16
+/** Maximum number of engines that the leader watches; with more, their events would exceed its CPU share. */
 const MAX_ENGINES = 48
 
-/** Up to where the events of a place are known. */
+/** Position up to which the events of a cache are applied. */
 interface Position {
   readonly epoch: number
   readonly after: number
 }
 
-/** Identity under which a place is watched: a store whatever its life, an engine's incarnation. */
-interface WatchedPlace {
+/** A watched cache: a store across its restarts, or one incarnation of an engine. */
+interface WatchedCache {
   readonly key: string
   readonly address: string
   /** Incarnation of an engine; undefined for a store. */
   readonly engine: string | undefined
 }
 
-/** Creates the watch and starts its task. */
+/** Creates the watch and starts it. */
 export function createCacheWatch(options: CacheWatchOptions): CacheWatch {
-  const { member, machine, calls, timers, logger } = options
+  const { member, machine, client, timers, logger } = options
   const stopping = new AbortController()
-  // One listener for each place that is watched; Node would write a warning from the eleventh on.
+  // Each watched cache adds a listener; Node warns about more than ten by default.
   setMaxListeners(0, stopping.signal)
   const changes = new Subject<void>()
-  const lives = new Map<string, number>()
-  const watched = new Map<string, WatchedPlace>()
-  /** Places that were watched for a while or have answered, so that nobody waits for them. */
+  const storeEpochs = new Map<string, number>()
+  const watched = new Map<string, WatchedCache>()
+  /** Keys of caches that have answered or whose first answer timed out; nothing waits for them. */
   const settled = new Set<string>()
   const settledChanges = new Subject<void>()
-  const kept = createKeptParts()
-  const late = new Subscription()
-  const listing = new Subject<() => Promise<void>>()
-  listing.pipe(mergeMap((list) => list(), LISTS_AT_ONCE)).subscribe()
+  const directory = createCacheDirectory()
+  const settleTimers = new Subscription()
+  const snapshotQueue = new Subject<() => Promise<void>>()
+  snapshotQueue.pipe(mergeMap((task) => task(), MAX_CONCURRENT_SNAPSHOTS)).subscribe()
 
-  const listStores = (): WatchedPlace[] =>
+  const listStores = (): WatchedCache[] =>
     (options.table.current()?.stores ?? []).map(({ address }) => ({
       key: address,
       address,
       engine: undefined,
     }))
-  const listEngines = (): WatchedPlace[] => {
+  const listEngines = (): WatchedCache[] => {
     const engines = machine.servers.list().filter(({ weights }) => weights.length > 0)
     if (engines.length > MAX_ENGINES) return []
     return engines.map(({ id, address }) => ({ key: id, address, engine: id }))
   }
-  const listPlaces = () =>
+  const listCaches = () =>
     member.status().role === 'leader' ? [...listStores(), ...listEngines()] : []
 
-  const recordLife = (address: string, epoch: number | undefined) => {
-    const before = lives.get(address)
+  const recordStoreEpoch = (address: string, epoch: number | undefined) => {
+    const before = storeEpochs.get(address)
     if (before === epoch) return
-    if (before !== undefined) kept.forget({ kind: 'store', address, epoch: before })
-    if (epoch === undefined) lives.delete(address)
-    else lives.set(address, epoch)
+    if (before !== undefined) directory.forget({ kind: 'store', address, epoch: before })
+    if (epoch === undefined) storeEpochs.delete(address)
+    else storeEpochs.set(address, epoch)
     logger.info('store.life', { address, epoch, before })
     changes.next()
   }
-  const toCachePlace = ({ address, engine }: WatchedPlace, epoch: number): CachePlace =>
+  const toCacheLocation = ({ address, engine }: WatchedCache, epoch: number): CacheLocation =>
     engine === undefined
       ? { kind: 'store', address, epoch }
       : { kind: 'engine', id: engine, address }
-  const applyNews = (place: WatchedPlace, news: CacheNews) => {
-    if (place.engine === undefined) recordLife(place.address, news.epoch)
-    const at = toCachePlace(place, news.epoch)
-    options.onKept(kept.apply(at, news.changes))
+  const applyEvents = (cache: WatchedCache, events: CacheEvents) => {
+    if (cache.engine === undefined) recordStoreEpoch(cache.address, events.epoch)
+    const at = toCacheLocation(cache, events.epoch)
+    options.onCacheChanges(directory.apply(at, events.changes))
   }
   /**
-   * Takes over the whole list. A new leader begins with it: the events since the start of an engine
-   * are thousands, and reading them took the leader longer than its first answers may wait.
+   * Replaces the content of a cache with a snapshot. A new leader starts with it: replaying the thousands of events
+   * since the start of an engine took the leader longer than its first replies may be delayed.
    */
-  const applyList = async (place: WatchedPlace, reason: string): Promise<Position> => {
-    const { epoch, next, parts } = await listInTurn(place)
-    if (place.engine === undefined) recordLife(place.address, epoch)
-    logger.info('cache.listed', { place: place.key, parts: parts.length, reason })
-    options.onKept(kept.replace(toCachePlace(place, epoch), parts))
+  const applySnapshot = async (cache: WatchedCache, reason: string): Promise<Position> => {
+    const { epoch, next, parts } = await fetchInTurn(cache)
+    if (cache.engine === undefined) recordStoreEpoch(cache.address, epoch)
+    logger.info('cache.listed', { place: cache.key, parts: parts.length, reason })
+    options.onCacheChanges(directory.replace(toCacheLocation(cache, epoch), parts))
     return { epoch, after: next }
   }
-  const listInTurn = ({ address }: WatchedPlace) =>
-    new Promise<CacheList>((resolve, reject) => {
-      listing.next(() => calls.listParts(address, stopping.signal).then(resolve, reject))
+  const fetchInTurn = ({ address }: WatchedCache) =>
+    new Promise<CacheSnapshot>((resolve, reject) => {
+      snapshotQueue.next(() => client.fetchSnapshot(address, stopping.signal).then(resolve, reject))
     })
-  const followEvents = async (place: WatchedPlace, { epoch, after }: Position) => {
-    const news = await calls.waitForChanges(place.address, after, stopping.signal)
-    if (!isWatching(place)) return { epoch, after }
-    // Numbers start anew with each life.
-    if (news.epoch !== epoch) return { epoch: news.epoch, after: 0 }
-    if (news.hasGap) return applyList(place, 'events lost')
-    applyNews(place, news)
-    return { epoch, after: news.next }
+  const followEvents = async (cache: WatchedCache, { epoch, after }: Position) => {
+    const events = await client.waitForChanges(cache.address, after, stopping.signal)
+    if (!isWatching(cache)) return { epoch, after }
+    // Sequence numbers restart with each epoch.
+    if (events.epoch !== epoch) return { epoch: events.epoch, after: 0 }
+    if (events.hasGap) return applySnapshot(cache, 'events lost')
+    applyEvents(cache, events)
+    return { epoch, after: events.next }
   }
-  const recordLost = (place: WatchedPlace, cause: unknown) => {
-    const { key, address, engine } = place
-    const isKnown = engine === undefined ? lives.has(address) : true
+  const recordUnreachable = (cache: WatchedCache, cause: unknown) => {
+    const { key, address, engine } = cache
+    const isKnown = engine === undefined ? storeEpochs.has(address) : true
     const reason = toSpoolgateError(cause).message
     if (isKnown) logger.warn('cache.lost', { place: key, reason })
-    if (engine === undefined) recordLife(address, undefined)
+    if (engine === undefined) recordStoreEpoch(address, undefined)
   }
-  const settlePlace = ({ key }: WatchedPlace) => {
+  const settleCache = ({ key }: WatchedCache) => {
     if (settled.has(key)) return
     settled.add(key)
     settledChanges.next()
   }
-  const isSettled = () => [...watched.keys()].every((key) => settled.has(key))
-  const isWatching = ({ key }: WatchedPlace) => !stopping.signal.aborted && watched.has(key)
-  const watchPlace = async (place: WatchedPlace) => {
+  const isEachSettled = () => [...watched.keys()].every((key) => settled.has(key))
+  const isWatching = ({ key }: WatchedCache) => !stopping.signal.aborted && watched.has(key)
+  const watchCache = async (cache: WatchedCache) => {
     let position: Position | undefined
-    while (isWatching(place)) {
+    while (isWatching(cache)) {
       try {
         position = position
-          ? await followEvents(place, position)
-          : await applyList(place, 'first contact')
-        settlePlace(place)
-        await waitFor(timers, PAUSE_MS + watched.size * PAUSE_PER_PLACE_MS, stopping.signal)
+          ? await followEvents(cache, position)
+          : await applySnapshot(cache, 'first contact')
+        settleCache(cache)
+        await waitFor(timers, PAUSE_MS + watched.size * PAUSE_PER_CACHE_MS, stopping.signal)
       } catch (cause) {
-        if (!isWatching(place)) break
-        recordLost(place, cause)
-        settlePlace(place)
-        await waitFor(timers, FAILED_PAUSE_MS, stopping.signal)
+        if (!isWatching(cache)) break
+        recordUnreachable(cache, cause)
+        settleCache(cache)
+        await waitFor(timers, RETRY_PAUSE_MS, stopping.signal)
       }
     }
-    if (place.engine === undefined) recordLife(place.address, undefined)
-    else kept.forget({ kind: 'engine', id: place.engine, address: place.address })
+    if (cache.engine === undefined) recordStoreEpoch(cache.address, undefined)
+    else directory.forget({ kind: 'engine', id: cache.engine, address: cache.address })
   }
-  const look = () => {
-    const places = new Map(listPlaces().map((place) => [place.key, place]))
+  const refreshWatches = () => {
+    const caches = new Map(listCaches().map((cache) => [cache.key, cache]))
     for (const key of watched.keys()) {
-      if (places.has(key)) continue
+      if (caches.has(key)) continue
       watched.delete(key)
       settled.delete(key)
     }
-    for (const [key, place] of places) {
+    for (const [key, cache] of caches) {
       if (watched.has(key)) continue
-      watched.set(key, place)
-      late.add(timers.after(FIRST_ANSWERS_MS).subscribe(() => settlePlace(place)))
-      void watchPlace(place)
+      watched.set(key, cache)
+      settleTimers.add(timers.after(FIRST_ANSWERS_TIMEOUT_MS).subscribe(() => settleCache(cache)))
+      void watchCache(cache)
     }
   }
   const run = async () => {
     while (!stopping.signal.aborted) {
-      look()
-      await waitFor(timers, LOOK_PERIOD_MS, stopping.signal)
+      refreshWatches()
+      await waitFor(timers, REFRESH_PERIOD_MS, stopping.signal)
     }
   }
   const running = run()
-  // The log that a new leader applies names the engines; waiting for the next look would be late.
-  const news = merge(member.elected, machine.fleetChanges).subscribe(look)
+  // A new leader learns the engines by applying its log; the next periodic refresh would be too late.
+  const refreshes = merge(member.elected, machine.fleetChanges).subscribe(refreshWatches)
   return {
-    listLives: () => [...lives].map(([address, epoch]) => ({ address, epoch })),
-    kept,
+    listReachableStores: () => [...storeEpochs].map(([address, epoch]) => ({ address, epoch })),
+    directory,
     waitForFirstAnswers: async () => {
-      const isOver = settledChanges.pipe(filter(isSettled))
-      if (!isSettled()) await firstValueFrom(isOver, { defaultValue: undefined })
+      const isOver = settledChanges.pipe(filter(isEachSettled))
+      if (!isEachSettled()) await firstValueFrom(isOver, { defaultValue: undefined })
     },
     changes,
     close: async () => {
       stopping.abort()
-      news.unsubscribe()
-      late.unsubscribe()
+      refreshes.unsubscribe()
+      settleTimers.unsubscribe()
       settledChanges.complete()
-      listing.complete()
+      snapshotQueue.complete()
       await running
     },
   }
--- a/packages/control/src/registry/tableFetch.ts
+++ b/packages/control/src/registry/tableFetcher.ts
@@ -1,6 +1,6 @@
 /**
- * A router's way to tables that are too large for the feed: one task that fetches the newest from any
- * control instance while the polls go on, so that loads, servers and the proof of the leader do not wait.
+ * Fetches tables that are too large for the feed: one task in the router that downloads the newest table from any
+ * control instance while polling continues, so that loads, servers and the leader's confirmation are not delayed.
  */
 import {
   waitFor,
@@ -14,41 +14,41 @@
 import { createInstanceSearch } from './instanceSearch.js'
 import type { TableRequest } from './tableSource.js'
 
-/** Options of {@link createTableFetch}. */
-export interface TableFetchOptions {
+/** Options of {@link createTableFetcher}. */
+export interface TableFetcherOptions {
   /** URLs of the control instances. */
   readonly listInstances: () => readonly string[]
   readonly client: HttpClient
   readonly timers: TimerService
   readonly random: RandomSource
   readonly logger: Logger
-  /** Version that the router holds; -1 for none. */
+  /** Version of the router's table; -1 for none. */
   readonly heldVersion: () => number
-  /** Takes an update over; false when it does not fit. Throws for a table that cannot be read. */
+  /** Applies an update; false if it does not apply. Throws if the table is unreadable. */
   readonly onUpdate: (update: TableUpdate) => boolean
   readonly stopping: AbortSignal
 }
 
-/** The task; see {@link createTableFetch}. */
-export interface TableFetch {
-  /** Notes that there is a version; it is fetched unless the router holds it or a newer one. */
-  want(version: number): void
-  /** Resolves once nothing is fetched any more. */
+/** See {@link createTableFetcher}. */
+export interface TableFetcher {
+  /** Requests a version; it is fetched unless the router holds it or a newer one. */
+  requestVersion(version: number): void
+  /** Resolves once no fetch is running. */
   close(): Promise<void>
 }
 
-/** Pause after an update that could not be used, in ms: the next will most likely be like it. */
+/** Pause after an unusable update, in ms, since the next one is likely to be unusable too. */
 const UNUSABLE_PAUSE_MS = 500
 
-/** Creates the task; nothing is fetched yet. */
-export function createTableFetch(options: TableFetchOptions): TableFetch {
+/** Creates an idle fetcher. */
+export function createTableFetcher(options: TableFetcherOptions): TableFetcher {
   const { client, timers, logger, heldVersion, stopping } = options
   let wantedVersion = NO_TABLE_VERSION
-  /** Set once an update did not fit, until one did. */
-  let isWholeWanted = false
+  /** Set when an update does not apply, until one does. */
+  let isFullTableNeeded = false
   let running: Promise<void> | undefined
 
-  const findBase = () => (isWholeWanted ? NO_TABLE_VERSION : heldVersion())
+  const findBase = () => (isFullTableNeeded ? NO_TABLE_VERSION : heldVersion())
   const search = createInstanceSearch({
     listInstances: options.listInstances,
     send: (url, signal) =>
@@ -67,14 +67,14 @@
   })
   const applyUpdate = async (url: string, update: TableUpdate) => {
     const held = heldVersion()
-    // An answer of the feed may have brought the router further in the meantime.
+    // A reply of the feed may have installed a newer table in the meantime.
     const isOutdated = update.version <= held || (update.base !== null && update.base !== held)
     if (isOutdated) return
     if (options.onUpdate(update)) {
-      isWholeWanted = false
+      isFullTableNeeded = false
       return
     }
-    isWholeWanted = true
+    isFullTableNeeded = true
     logger.error('table.unfit', { url, held, base: update.base, version: update.version })
     await waitFor(timers, UNUSABLE_PAUSE_MS, stopping)
   }
@@ -83,7 +83,7 @@
       const found = await search.run()
       if (found) await applyUpdate(found.url, found.answer)
     } catch (cause) {
-      // Only what cannot be read comes here: a table of a newer version of this program.
+      // Only an unreadable table gets here: one written for a newer version of this program.
       const reason = String(cause)
       logger.error('table.unreadable', { held: heldVersion(), wantedVersion, reason })
       await waitFor(timers, UNUSABLE_PAUSE_MS, stopping)
@@ -92,11 +92,11 @@
   const isBehind = () => heldVersion() < wantedVersion && !stopping.aborted
   const run = async () => {
     while (isBehind()) await fetchNewest()
-    // In the turn of the last look, so that a version which is wanted from now on starts the task again.
+    // Reset in the same turn as the last check, so that a version requested later starts the task again.
     running = undefined
   }
   return {
-    want: (version) => {
+    requestVersion: (version) => {
       wantedVersion = Math.max(wantedVersion, version)
       if (isBehind()) running ??= run()
     },
--- a/packages/router/src/direct/directContext.ts
+++ b/packages/router/src/direct/directContext.ts
@@ -1,5 +1,5 @@
 /** Shared state and services that every request of a direct router needs. */
-import type { FeedFollower } from '@spoolgate/control'
+import type { FeedClient } from '@spoolgate/control'
 import type {
   Counter,
   Histogram,
@@ -41,7 +41,7 @@
 export interface DirectContext {
   readonly instance: string
   readonly hall: string
-  readonly feed: FeedFollower
+  readonly feed: FeedClient
   readonly caller: CallerProtocol
   readonly backend: BackendProtocol
   readonly agent: KeepAliveAgent
--- a/packages/router/src/direct/prefixLocations.ts
+++ b/packages/router/src/direct/prefixLocations.ts
@@ -2,7 +2,7 @@
  * Locates the cached shared parts of a prompt: at engines and stores that are known to have them, or else at a
  * preferred engine, which all routers compute alike by rendezvous hashing, without communication.
  */
-import type { FleetView, RegisteredServer, StoreLife } from '@spoolgate/control'
+import type { FleetView, RegisteredServer, ReachableStore } from '@spoolgate/control'
 import { toBackendServerId, type BackendServerId } from '@spoolgate/core'
 import { formatStoreId, hashText, type EngineCapacity } from '@spoolgate/routing'
 import type { PromptInfo, PromptPart } from './protocols.js'
@@ -129,9 +129,9 @@
  * hold more.
  */
 function chooseStore(
-  stores: readonly StoreLife[],
+  stores: readonly ReachableStore[],
   shared: readonly PromptPart[],
-): StoreLife | undefined {
+): ReachableStore | undefined {
   return findByRendezvousHash(formatKey(shared), stores, ({ address }) => address)
 }
 
