--- a/packages/router/src/relay/attempt.ts
+++ b/packages/router/src/relay/attempt.ts
@@ -57,7 +57,7 @@
   | { readonly kind: 'cancelled' }
 
 /** Tries to read on after a connection broke. */
-const RESUME_TRIES = 4
+const MAX_RESUME_TRIES = 4
 const RESUME_DELAY_MS = 50
 const RESUME_TIMEOUT_MS = 1_000
 const DECLINED_STATUS = 409
@@ -73,17 +73,17 @@
 
 /** Frees the engine's slot of an attempt that nobody waits for; failures need no answer. */
 export function cancelAttempt(
-  parts: AttemptDependencies,
+  deps: AttemptDependencies,
   sidecarUrl: string,
   header: CallHeader,
 ): void {
   const url = formatCallUrl(sidecarUrl, header)
-  parts.client
+  deps.client
     .sendJson({ method: 'DELETE', url, timeoutMs: CANCEL_TIMEOUT_MS })
-    .catch(() => parts.logger.debug('attempt.cancelUnanswered', { request: header.request }))
+    .catch(() => deps.logger.debug('attempt.cancelUnanswered', { request: header.request }))
 }
 
-function toResult(cursor: FrameCursor): AttemptResult | undefined {
+function toAttemptResult(cursor: FrameCursor): AttemptResult | undefined {
   const { end } = cursor
   if (!end) return undefined
   if (end.outcome === 'finished') return { kind: 'finished' }
@@ -91,11 +91,11 @@
 }
 
 async function resumeOnce(
-  parts: AttemptDependencies,
+  deps: AttemptDependencies,
   request: AttemptRequest,
   cursor: FrameCursor,
 ): Promise<SpoolgateError | undefined> {
-  const message = await parts.client.send({
+  const message = await deps.client.send({
     method: 'GET',
     url: formatCallUrl(request.sidecarUrl, request.header),
     headers: { 'last-event-id': String(cursor.sequence) },
@@ -103,40 +103,40 @@
     timeoutMs: RESUME_TIMEOUT_MS,
   })
   if ((message.statusCode ?? 0) !== 200) return readErrorAnswer(message)
-  await readFrames(message, cursor, request.sink, parts.invariants)
+  await readFrames(message, cursor, request.sink, deps.invariants)
   return undefined
 }
 
 /** Reads on after a broken connection until the answer has ended or the sidecar is given up. */
 export async function resumeAttempt(
-  parts: AttemptDependencies,
+  deps: AttemptDependencies,
   request: AttemptRequest,
   cursor: FrameCursor = createFrameCursor(),
 ): Promise<AttemptResult> {
-  for (let tries = 0; tries < RESUME_TRIES && !request.signal.aborted; tries += 1) {
-    if (tries > 0) await waitFor(parts.timers, RESUME_DELAY_MS * 2 ** tries, request.signal)
-    const before = cursor.sequence
+  for (let tries = 0; tries < MAX_RESUME_TRIES && !request.signal.aborted; tries += 1) {
+    if (tries > 0) await waitFor(deps.timers, RESUME_DELAY_MS * 2 ** tries, request.signal)
+    const previousSequence = cursor.sequence
     try {
-      const refusal = await resumeOnce(parts, request, cursor)
-      if (refusal) return { kind: 'lost', reason: refusal.message, notRun: false }
+      const error = await resumeOnce(deps, request, cursor)
+      if (error) return { kind: 'lost', reason: error.message, notRun: false }
     } catch (cause) {
       if (!(cause instanceof ConnectionError)) throw cause
     }
-    const result = toResult(cursor)
+    const result = toAttemptResult(cursor)
     if (result) return result
-    if (cursor.sequence > before) tries = 0
+    if (cursor.sequence > previousSequence) tries = 0
   }
   if (request.signal.aborted) return { kind: 'cancelled' }
   return { kind: 'lost', reason: 'sidecar does not answer', notRun: false }
 }
 
 async function sendCall(
-  parts: AttemptDependencies,
+  deps: AttemptDependencies,
   request: AttemptRequest,
 ): Promise<IncomingMessage | AttemptResult> {
   const { header, body, sidecarUrl, signal } = request
   try {
-    return await parts.client.send({
+    return await deps.client.send({
       method: 'POST',
       url: `${sidecarUrl}/calls`,
       headers: {
@@ -155,33 +155,33 @@
 
 /** Runs one attempt to its end; cancels it at the sidecar when the signal aborts. */
 export async function runAttempt(
-  parts: AttemptDependencies,
+  deps: AttemptDependencies,
   request: AttemptRequest,
 ): Promise<AttemptResult> {
   const { header, sidecarUrl, signal } = request
-  const reply = await sendCall(parts, request)
-  if ('kind' in reply) {
-    if (reply.kind === 'cancelled') cancelAttempt(parts, sidecarUrl, header)
-    return reply
+  const response = await sendCall(deps, request)
+  if ('kind' in response) {
+    if (response.kind === 'cancelled') cancelAttempt(deps, sidecarUrl, header)
+    return response
   }
-  if (reply.statusCode === DECLINED_STATUS && HINTS_HEADER in reply.headers) {
-    const decline = (await readJson(reply, INTERNAL_BODY_LIMITS)) as Decline
-    return { kind: 'declined', decline, hints: parseHints(reply) }
+  if (response.statusCode === DECLINED_STATUS && HINTS_HEADER in response.headers) {
+    const decline = (await readJson(response, INTERNAL_BODY_LIMITS)) as Decline
+    return { kind: 'declined', decline, hints: parseHints(response) }
   }
-  if (reply.statusCode !== 200) {
-    const error = await readErrorAnswer(reply)
+  if (response.statusCode !== 200) {
+    const error = await readErrorAnswer(response)
     return { kind: 'failed', reason: error.message, notRun: error.notRun }
   }
-  request.onClaim(parseHints(reply))
+  request.onClaim(parseHints(response))
   const cursor = createFrameCursor()
-  await readFrames(reply, cursor, request.sink, parts.invariants)
-  const result = toResult(cursor)
+  await readFrames(response, cursor, request.sink, deps.invariants)
+  const result = toAttemptResult(cursor)
   if (result) return result
   if (!signal.aborted) {
-    parts.logger.warn('attempt.connectionBroken', { request: header.request, at: cursor.sequence })
-    const resumed = await resumeAttempt(parts, request, cursor)
+    deps.logger.warn('attempt.connectionBroken', { request: header.request, at: cursor.sequence })
+    const resumed = await resumeAttempt(deps, request, cursor)
     if (resumed.kind !== 'cancelled') return resumed
   }
-  cancelAttempt(parts, sidecarUrl, header)
+  cancelAttempt(deps, sidecarUrl, header)
   return { kind: 'cancelled' }
 }
--- a/packages/router/src/relay/declines.ts
+++ b/packages/router/src/relay/declines.ts
@@ -18,30 +18,30 @@
 }
 
 /** Longest wait for a configuration that a sidecar already has, in ms. */
-const CONFIG_WAIT_MS = 2_000
+const CONFIG_WAIT_TIMEOUT_MS = 2_000
 const MS_PER_SECOND = 1_000
 
 /** Takes in a decline: learns from its hints, and leaves the backend server out or catches up. */
 export async function recordDecline(
-  parts: RelayDependencies,
+  deps: RelayDependencies,
   context: CallContext,
   state: DeclineState,
   server: BackendServer,
   result: Extract<AttemptResult, { kind: 'declined' }>,
 ): Promise<void> {
   const { decline, hints } = result
-  const now = parts.timers.now()
-  parts.state.hints.record(hints, now)
-  parts.state.hints.recordCached(context.chain, hints, hints.matchedTokens, now)
-  parts.instruments.declines.add(1, { reason: decline.declined })
-  parts.decisions.recordAttempt(context.request, {
+  const now = deps.timers.now()
+  deps.state.hints.record(hints, now)
+  deps.state.hints.recordCached(context.chain, hints, hints.matchedTokens, now)
+  deps.instruments.declines.add(1, { reason: decline.declined })
+  deps.decisions.recordAttempt(context.request, {
     server: server.id,
     outcome: 'declined',
     reason: decline.declined,
   })
   if (decline.declined === 'olderConfiguration') {
-    parts.config.noteVersion(hints.configVersion, server.sidecarUrl)
-    const isCaughtUp = await parts.config.waitForVersion(hints.configVersion, CONFIG_WAIT_MS)
+    deps.config.noteVersion(hints.configVersion, server.sidecarUrl)
+    const isCaughtUp = await deps.config.waitForVersion(hints.configVersion, CONFIG_WAIT_TIMEOUT_MS)
     if (isCaughtUp) return
   }
   if (decline.declined === 'longerThanExpected') {
@@ -61,15 +61,15 @@
  * @throws SpoolgateError when none is left, with whether the request may have run.
  */
 export async function chooseNextServer(
-  parts: RelayDependencies,
+  deps: RelayDependencies,
   context: CallContext,
   state: DeclineState,
   fleet: Fleet,
 ): Promise<RoutingDecision> {
   const { request, team, parameters, target, chain, weightsVersion, session } = context
   const { excluded } = state
-  const wanted = { request, team, parameters, target, chain, weightsVersion, session }
-  const decision = await parts.serverSelector.choose({ ...wanted, fleet, excluded })
+  const selection = { request, team, parameters, target, chain, weightsVersion, session }
+  const decision = await deps.serverSelector.choose({ ...selection, fleet, excluded })
   if (decision) return decision
   throw createUnavailableError(state)
 }
--- a/packages/router/src/relay/dispatchOutcome.ts
+++ b/packages/router/src/relay/dispatchOutcome.ts
@@ -8,29 +8,29 @@
 import type { RelayDependencies } from './relayDependencies.js'
 import { createBufferSink, type BufferedResponse } from './sinks.js'
 
-const ASK_TIMEOUT_MS = 1_000
-const ASK_TRIES = 5
-const ASK_DELAY_MS = 100
+const STATE_QUERY_TIMEOUT_MS = 1_000
+const MAX_STATE_QUERIES = 5
+const STATE_QUERY_DELAY_MS = 100
 /** Times that an answer is read on before the caller should ask again. */
-const RESOLVE_TRIES = 3
+const MAX_RESOLVE_ROUNDS = 3
 
 /** Asks a sidecar what became of a dispatch; undefined when it does not answer. */
-async function askAboutDispatch(
-  parts: RelayDependencies,
+async function fetchDispatchState(
+  deps: RelayDependencies,
   server: BackendServer,
   dispatch: ClaimedDispatch,
 ): Promise<DispatchState | undefined> {
-  for (let tries = 0; tries < ASK_TRIES; tries += 1) {
-    if (tries > 0) await waitFor(parts.timers, ASK_DELAY_MS * 2 ** tries)
+  for (let tries = 0; tries < MAX_STATE_QUERIES; tries += 1) {
+    if (tries > 0) await waitFor(deps.timers, STATE_QUERY_DELAY_MS * 2 ** tries)
     try {
-      return await parts.client.sendJson<DispatchState>({
+      return await deps.client.sendJson<DispatchState>({
         method: 'POST',
         url: `${server.sidecarUrl}/dispatches`,
         json: dispatch,
-        timeoutMs: ASK_TIMEOUT_MS,
+        timeoutMs: STATE_QUERY_TIMEOUT_MS,
       })
     } catch {
-      parts.logger.debug('dispatch.unanswered', { claim: dispatch.claim, server: server.id })
+      deps.logger.debug('dispatch.unanswered', { claim: dispatch.claim, server: server.id })
     }
   }
   return undefined
@@ -38,7 +38,7 @@
 
 /** What is known once a dispatch has been followed to its end. */
 export type DispatchOutcome =
-  | { readonly kind: 'answered'; readonly answer: BufferedResponse }
+  | { readonly kind: 'answered'; readonly response: BufferedResponse }
   /** It did not run and never will; another dispatch may be given. */
   | { readonly kind: 'barred' }
   /** Nobody can tell whether it ran. */
@@ -59,13 +59,13 @@
   context: CallContext,
   server: BackendServer,
   dispatch: ClaimedDispatch,
-  shared: Omit<CallHeader, 'attempt'>,
-  parts: RelayDependencies,
+  commonHeader: Omit<CallHeader, 'attempt'>,
+  deps: RelayDependencies,
 ): DispatchAttempt {
   const sink = createBufferSink()
   const { claim, number, incarnation } = dispatch
   const header: CallHeader = {
-    ...shared,
+    ...commonHeader,
     request: dispatch.request,
     attempt: toAttemptNumber(number),
     dispatch: { claim, number, incarnation },
@@ -77,19 +77,19 @@
     sink,
     // A caller that leaves does not stop what must not be repeated.
     signal: new AbortController().signal,
-    onClaim: (hints) => parts.state.hints.record(hints, parts.timers.now()),
+    onClaim: (hints) => deps.state.hints.record(hints, deps.timers.now()),
   }
   return { server, dispatch, sink, request }
 }
 
 /** Settles a dispatch whose connection broke, by asking the sidecar. */
 export async function resolveInterruptedDispatch(
-  parts: RelayDependencies,
-  followed: DispatchAttempt,
-  tries = RESOLVE_TRIES,
+  deps: RelayDependencies,
+  attempt: DispatchAttempt,
+  roundsLeft = MAX_RESOLVE_ROUNDS,
 ): Promise<DispatchOutcome> {
-  if (tries === 0) return { kind: 'unreachable' }
-  const state = await askAboutDispatch(parts, followed.server, followed.dispatch)
+  if (roundsLeft === 0) return { kind: 'unreachable' }
+  const state = await fetchDispatchState(deps, attempt.server, attempt.dispatch)
   switch (state?.state) {
     case undefined:
       return { kind: 'unreachable' }
@@ -101,30 +101,30 @@
       return state.notRun ? { kind: 'barred' } : { kind: 'unknown' }
     default: {
       const sink = createBufferSink()
-      const request = { ...followed.request, sink }
-      const result = await resumeAttempt(parts, request)
-      return resolveAttemptResult(parts, { ...followed, sink, request }, result, tries - 1)
+      const request = { ...attempt.request, sink }
+      const result = await resumeAttempt(deps, request)
+      return resolveAttemptResult(deps, { ...attempt, sink, request }, result, roundsLeft - 1)
     }
   }
 }
 
 /** Works out what an attempt of a dispatch came to. */
 export async function resolveAttemptResult(
-  parts: RelayDependencies,
-  followed: DispatchAttempt,
+  deps: RelayDependencies,
+  attempt: DispatchAttempt,
   result: AttemptResult,
-  tries = RESOLVE_TRIES,
+  roundsLeft = MAX_RESOLVE_ROUNDS,
 ): Promise<DispatchOutcome> {
   switch (result.kind) {
     case 'finished': {
-      const answer = followed.sink.findResponse()
-      return answer ? { kind: 'answered', answer } : { kind: 'unknown' }
+      const response = attempt.sink.findResponse()
+      return response ? { kind: 'answered', response } : { kind: 'unknown' }
     }
     case 'declined':
       return { kind: 'barred' }
     case 'failed':
       return result.notRun ? { kind: 'barred' } : { kind: 'unknown' }
     default:
-      return resolveInterruptedDispatch(parts, followed, tries)
+      return resolveInterruptedDispatch(deps, attempt, roundsLeft)
   }
 }
--- a/packages/router/src/relay/frameReader.ts
+++ b/packages/router/src/relay/frameReader.ts
@@ -26,7 +26,7 @@
   return { sequence: 0, end: undefined }
 }
 
-function takeFrame(
+function handleFrame(
   event: EventSourceMessage,
   cursor: FrameCursor,
   sink: ResponseSink,
@@ -54,7 +54,7 @@
   invariants: Invariants,
 ): Promise<void> {
   const parser = createParser({
-    onEvent: (event) => takeFrame(event, cursor, sink, invariants),
+    onEvent: (event) => handleFrame(event, cursor, sink, invariants),
   })
   await readTextStream(message, (text) => {
     parser.feed(text)
--- a/packages/router/src/relay/keptAnswer.ts
+++ b/packages/router/src/relay/keptAnswer.ts
@@ -6,12 +6,12 @@
 const MAX_KEPT_BYTES = 256 * 1024
 
 /** Prepares an answer for keeping; undefined when it is too large. */
-export function toKeptAnswer(answer: BufferedResponse): KeptAnswer | undefined {
-  if (answer.body.length > MAX_KEPT_BYTES) return undefined
-  const text = answer.body.toString('utf8')
-  const isBase64 = !Buffer.from(text, 'utf8').equals(answer.body)
-  const { status, contentType } = answer.head
-  return { status, contentType, body: isBase64 ? answer.body.toString('base64') : text, isBase64 }
+export function toKeptAnswer(response: BufferedResponse): KeptAnswer | undefined {
+  if (response.body.length > MAX_KEPT_BYTES) return undefined
+  const text = response.body.toString('utf8')
+  const isBase64 = !Buffer.from(text, 'utf8').equals(response.body)
+  const { status, contentType } = response.head
+  return { status, contentType, body: isBase64 ? response.body.toString('base64') : text, isBase64 }
 }
 
 /** Reads a kept answer. */
--- a/packages/router/src/relay/relayOnce.ts
+++ b/packages/router/src/relay/relayOnce.ts
@@ -55,29 +55,29 @@
 
 /** Finds which incarnation of a sidecar to name: from hints, or by asking it. */
 async function findIncarnation(
-  parts: RelayDependencies,
+  deps: RelayDependencies,
   server: BackendServer,
 ): Promise<Incarnation | undefined> {
-  const known = parts.state.hints.find(server.id)?.hints.incarnation
+  const known = deps.state.hints.find(server.id)?.hints.incarnation
   if (known) return known
   try {
     const url = `${server.sidecarUrl}/status`
     const request = { method: 'GET', url, timeoutMs: STATUS_TIMEOUT_MS }
-    return (await parts.client.sendJson<{ incarnation: Incarnation }>(request)).incarnation
+    return (await deps.client.sendJson<{ incarnation: Incarnation }>(request)).incarnation
   } catch {
     return undefined
   }
 }
 
-interface OnceState extends DeclineState {
+interface AtMostOnceState extends DeclineState {
   readonly key: IdempotencyKey
   readonly bodyHash: string
 }
 
 async function openClaim(
-  parts: RelayDependencies,
+  deps: RelayDependencies,
   context: CallContext,
-  state: OnceState,
+  state: AtMostOnceState,
   server: BackendServerId,
   incarnation: Incarnation,
 ): Promise<OpenResult> {
@@ -85,7 +85,7 @@
   const { key, bodyHash } = state
   try {
     const command = { kind: 'claim.open', team, key: key.key, bodyHash } as const
-    return await parts.control.send<'claim.open'>({ ...command, request, server, incarnation })
+    return await deps.control.send<'claim.open'>({ ...command, request, server, incarnation })
   } catch (cause) {
     if (!(cause instanceof SpoolgateError) || cause.kind !== 'controlUnavailable') throw cause
     // Without a claim nothing was dispatched; but an earlier send of the caller's key may have run.
@@ -98,61 +98,61 @@
 
 /** Records in the claim what became of its dispatch. */
 async function settleClaim(
-  parts: RelayDependencies,
+  deps: RelayDependencies,
   dispatch: ClaimedDispatch,
   outcome: DispatchOutcome,
 ): Promise<void> {
   const { claim, number } = dispatch
-  parts.instruments.claims.add(1, { outcome: outcome.kind })
-  parts.logger.info('claim.settled', { claim, number, outcome: outcome.kind })
+  deps.instruments.claims.add(1, { outcome: outcome.kind })
+  deps.logger.info('claim.settled', { claim, number, outcome: outcome.kind })
   if (outcome.kind === 'answered') {
-    const answer = toKeptAnswer(outcome.answer)
-    await parts.control.send<'claim.finish'>({ kind: 'claim.finish', claim, number, answer })
+    const answer = toKeptAnswer(outcome.response)
+    await deps.control.send<'claim.finish'>({ kind: 'claim.finish', claim, number, answer })
   } else if (outcome.kind === 'barred') {
-    await parts.control.send<'claim.release'>({ kind: 'claim.release', claim, number })
+    await deps.control.send<'claim.release'>({ kind: 'claim.release', claim, number })
   } else if (outcome.kind === 'unknown') {
-    await parts.control.send<'claim.lose'>({ kind: 'claim.lose', claim, number })
+    await deps.control.send<'claim.lose'>({ kind: 'claim.lose', claim, number })
   }
 }
 
 async function runDispatch(
-  parts: RelayDependencies,
+  deps: RelayDependencies,
   context: CallContext,
-  state: OnceState,
+  state: AtMostOnceState,
   fleet: Fleet,
   server: BackendServer,
   dispatch: ClaimedDispatch,
 ): Promise<DispatchOutcome> {
-  const shared = buildCallHeader(context, fleet, parts.timers.now(), parts.timers.wallNow())
-  const followed = buildDispatchAttempt(context, server, dispatch, shared, parts)
-  const result = await runAttempt(parts, followed.request)
-  if (result.kind === 'declined') await recordDecline(parts, context, state, server, result)
+  const commonHeader = buildCallHeader(context, fleet, deps.timers.now(), deps.timers.wallNow())
+  const attempt = buildDispatchAttempt(context, server, dispatch, commonHeader, deps)
+  const result = await runAttempt(deps, attempt.request)
+  if (result.kind === 'declined') await recordDecline(deps, context, state, server, result)
   else if (result.kind !== 'finished') state.excluded.add(server.id)
   const { kind } = result
-  parts.decisions.recordAttempt(context.request, { server: server.id, outcome: kind })
-  return resolveAttemptResult(parts, followed, result)
+  deps.decisions.recordAttempt(context.request, { server: server.id, outcome: kind })
+  return resolveAttemptResult(deps, attempt, result)
 }
 
 /** Follows a dispatch that another request, perhaps of another router, was given. */
 async function joinDispatch(
-  parts: RelayDependencies,
+  deps: RelayDependencies,
   context: CallContext,
   fleet: Fleet,
   dispatch: ClaimedDispatch,
 ): Promise<DispatchOutcome> {
   const server = fleet.backendServers.get(dispatch.server)
   if (!server) return { kind: 'unreachable' }
-  const shared = buildCallHeader(context, fleet, parts.timers.now(), parts.timers.wallNow())
+  const commonHeader = buildCallHeader(context, fleet, deps.timers.now(), deps.timers.wallNow())
   return resolveInterruptedDispatch(
-    parts,
-    buildDispatchAttempt(context, server, dispatch, shared, parts),
+    deps,
+    buildDispatchAttempt(context, server, dispatch, commonHeader, deps),
   )
 }
 
 /** Takes in an outcome; returns the answer once there is one, throws what is final. */
 async function applyOutcome(
-  parts: RelayDependencies,
-  state: OnceState,
+  deps: RelayDependencies,
+  state: AtMostOnceState,
   dispatch: ClaimedDispatch,
   outcome: DispatchOutcome,
 ): Promise<BufferedResponse | undefined> {
@@ -163,66 +163,66 @@
       { retryAfterSeconds: 2 },
     )
   }
-  const settled = settleClaim(parts, dispatch, outcome)
+  const settled = settleClaim(deps, dispatch, outcome)
   if (outcome.kind === 'answered') {
     // The caller has waited enough: the sidecar still holds the answer if this router dies now.
-    parts.trackBackgroundWork(
-      settled.catch(() => parts.logger.warn('claim.unsettled', { ...dispatch })),
+    deps.trackBackgroundWork(
+      settled.catch(() => deps.logger.warn('claim.unsettled', { ...dispatch })),
     )
-    return outcome.answer
+    return outcome.response
   }
   if (outcome.kind === 'unknown') {
     state.mayHaveRun = true
-    await settled.catch(() => parts.logger.warn('claim.unsettled', { ...dispatch }))
+    await settled.catch(() => deps.logger.warn('claim.unsettled', { ...dispatch }))
     throw createOutcomeUnknownError()
   }
   await settled
   return undefined
 }
 
-async function runClaimed(
-  parts: RelayDependencies,
+async function runClaimedDispatches(
+  deps: RelayDependencies,
   context: CallContext,
-  state: OnceState,
+  state: AtMostOnceState,
 ): Promise<BufferedResponse> {
   for (let dispatches = 0; dispatches < MAX_DISPATCHES; dispatches += 1) {
-    const fleet = parts.config.current()
+    const fleet = deps.config.current()
     if (!fleet) throw new SpoolgateError('controlUnavailable', 'no configuration yet; try later')
-    const { server } = (await chooseNextServer(parts, context, state, fleet)).chosen
-    const incarnation = await findIncarnation(parts, server)
+    const { server } = (await chooseNextServer(deps, context, state, fleet)).chosen
+    const incarnation = await findIncarnation(deps, server)
     if (!incarnation) {
       state.excluded.add(server.id)
       continue
     }
-    const opened = await openClaim(parts, context, state, server.id, incarnation)
-    const answer = await takeOpened(parts, context, state, fleet, server, opened)
-    if (answer) return answer
+    const openResult = await openClaim(deps, context, state, server.id, incarnation)
+    const response = await handleOpenResult(deps, context, state, fleet, server, openResult)
+    if (response) return response
   }
   throw createUnavailableError(state)
 }
 
-async function takeOpened(
-  parts: RelayDependencies,
+async function handleOpenResult(
+  deps: RelayDependencies,
   context: CallContext,
-  state: OnceState,
+  state: AtMostOnceState,
   fleet: Fleet,
   server: BackendServer,
-  opened: OpenResult,
+  openResult: OpenResult,
 ): Promise<BufferedResponse | undefined> {
-  switch (opened.kind) {
+  switch (openResult.kind) {
     case 'granted': {
-      const { dispatch } = opened
+      const { dispatch } = openResult
       // A grant means that every earlier dispatch of this key was barred.
       state.mayHaveRun = false
-      const outcome = await runDispatch(parts, context, state, fleet, server, dispatch)
-      return applyOutcome(parts, state, dispatch, outcome)
+      const outcome = await runDispatch(deps, context, state, fleet, server, dispatch)
+      return applyOutcome(deps, state, dispatch, outcome)
     }
     case 'running': {
-      const outcome = await joinDispatch(parts, context, fleet, opened.dispatch)
-      return applyOutcome(parts, state, opened.dispatch, outcome)
+      const outcome = await joinDispatch(deps, context, fleet, openResult.dispatch)
+      return applyOutcome(deps, state, openResult.dispatch, outcome)
     }
     case 'finished':
-      if (opened.answer) return parseKeptAnswer(opened.answer)
+      if (openResult.answer) return parseKeptAnswer(openResult.answer)
       throw new SpoolgateError(
         'conflict',
         'this request has run; its answer was too large to keep, so ask the service for the result',
@@ -240,11 +240,11 @@
 
 /** Serves an unrepeatable request to its end. */
 export async function relayOnce(
-  parts: RelayDependencies,
+  deps: RelayDependencies,
   context: CallContext,
   key: IdempotencyKey,
 ): Promise<void> {
-  const state: OnceState = {
+  const state: AtMostOnceState = {
     key,
     bodyHash: hashBody(context),
     excluded: new Set(),
@@ -255,22 +255,22 @@
   }
   const team = context.team
   try {
-    const work = runClaimed(parts, context, state)
-    parts.trackBackgroundWork(work.catch(() => {}))
-    const answer = await work
-    parts.instruments.requests.add(1, { team, policy: 'once', outcome: 'finished' })
-    parts.decisions.recordOutcome(context.request, 'finished', undefined)
+    const responsePromise = runClaimedDispatches(deps, context, state)
+    deps.trackBackgroundWork(responsePromise.catch(() => {}))
+    const response = await responsePromise
+    deps.instruments.requests.add(1, { team, policy: 'once', outcome: 'finished' })
+    deps.decisions.recordOutcome(context.request, 'finished', undefined)
     context.response.setHeader('idempotency-key', key.key)
-    sendBufferedResponse(context.response, answer)
+    sendBufferedResponse(context.response, response)
   } catch (cause) {
     const error = toSpoolgateError(cause)
     const outcome = error.kind
-    parts.invariants.assert(
+    deps.invariants.assert(
       'notRunIsTrue',
       !error.notRun || !state.mayHaveRun || outcome === 'conflict',
     )
-    parts.instruments.requests.add(1, { team, policy: 'once', outcome })
-    parts.decisions.recordOutcome(context.request, outcome, undefined)
+    deps.instruments.requests.add(1, { team, policy: 'once', outcome })
+    deps.decisions.recordOutcome(context.request, outcome, undefined)
     throw cause
   }
 }
--- a/packages/router/src/relay/relayRepeatable.ts
+++ b/packages/router/src/relay/relayRepeatable.ts
@@ -18,7 +18,7 @@
 import { createStreamSink, type StreamSink } from './sinks.js'
 
 /** Choices that may be given up for a better one; the next is then claimed at any length. */
-const MAX_MISSES = 2
+const MAX_LATENCY_DECLINES = 2
 
 interface RelayState extends DeclineState {
   readonly sink: StreamSink
@@ -27,7 +27,7 @@
 }
 
 /** Text to go on from, when part of the answer was delivered. */
-function findResumeText(state: RelayState): string | undefined {
+function resumeFromDelivered(state: RelayState): string | undefined {
   if (state.sink.delivered.length === 0) return undefined
   const delivered = parseDeliveredChunks(state.sink.delivered)
   if (!delivered) {
@@ -40,21 +40,21 @@
   return delivered.text
 }
 
-function buildBody(context: CallContext, resumeText: string | undefined): Buffer {
+function buildAttemptBody(context: CallContext, resumeText: string | undefined): Buffer {
   if (resumeText === undefined) return context.body
   const body: unknown = JSON.parse(context.body.toString('utf8'))
   return Buffer.from(JSON.stringify({ resumeText, body }))
 }
 
 /** Aborts when the caller leaves, or when no token has come within the bound. */
-function createAttemptSignal(parts: RelayDependencies, context: CallContext, timeoutMs: number) {
-  const aborting = new AbortController()
-  const abort = () => aborting.abort()
+function createAttemptSignal(deps: RelayDependencies, context: CallContext, timeoutMs: number) {
+  const controller = new AbortController()
+  const abort = () => controller.abort()
   context.callerSignal.addEventListener('abort', abort)
   if (context.callerSignal.aborted) abort()
-  const timeout = parts.timers.after(timeoutMs).subscribe(abort)
+  const timeout = deps.timers.after(timeoutMs).subscribe(abort)
   return {
-    signal: aborting.signal,
+    signal: controller.signal,
     stopTimeout: () => timeout.unsubscribe(),
     close: () => {
       timeout.unsubscribe()
@@ -63,104 +63,104 @@
   }
 }
 
-async function runOnce(
-  parts: RelayDependencies,
+async function runServerAttempt(
+  deps: RelayDependencies,
   context: CallContext,
   state: RelayState,
   decision: RoutingDecision,
 ): Promise<AttemptResult> {
-  const fleet = parts.config.current()
+  const fleet = deps.config.current()
   if (!fleet) throw new SpoolgateError('controlUnavailable', 'no configuration yet; try later')
   const { server } = decision.chosen
-  const { hints } = parts.state
-  const resumeText = findResumeText(state)
-  const shared = buildCallHeader(context, fleet, parts.timers.now(), parts.timers.wallNow())
+  const { hints } = deps.state
+  const resumeText = resumeFromDelivered(state)
+  const commonHeader = buildCallHeader(context, fleet, deps.timers.now(), deps.timers.wallNow())
   const attempt = toAttemptNumber(state.attempts)
   const header: CallHeader = {
-    ...shared,
+    ...commonHeader,
     attempt,
     hasResumeText: resumeText !== undefined,
-    acceptMs: state.latencyDeclines < MAX_MISSES ? decision.acceptMs : undefined,
+    acceptMs: state.latencyDeclines < MAX_LATENCY_DECLINES ? decision.acceptMs : undefined,
   }
   const { firstTokenTimeoutMs, wholeAnswerTimeoutMs } = fleet.routing
   const timeoutMs = context.isStream ? firstTokenTimeoutMs : wholeAnswerTimeoutMs
-  const aborting = createAttemptSignal(parts, context, timeoutMs)
-  const before = state.sink.delivered.length
+  const attemptSignal = createAttemptSignal(deps, context, timeoutMs)
+  const deliveredBefore = state.sink.delivered.length
   hints.addCall(server.id, context.chain.totalTokens)
   try {
-    const result = await runAttempt(parts, {
+    const result = await runAttempt(deps, {
       sidecarUrl: server.sidecarUrl,
       header,
-      body: buildBody(context, resumeText),
+      body: buildAttemptBody(context, resumeText),
       sink: {
         ...state.sink,
         onData: (data) => {
-          if (state.sink.delivered.length === before) aborting.stopTimeout()
+          if (state.sink.delivered.length === deliveredBefore) attemptSignal.stopTimeout()
           state.sink.onData(data)
         },
       },
-      signal: aborting.signal,
-      onClaim: (found) => {
-        const now = parts.timers.now()
-        hints.record(found, now)
+      signal: attemptSignal.signal,
+      onClaim: (claimHints) => {
+        const now = deps.timers.now()
+        hints.record(claimHints, now)
         // What is missing is computed now: the next request of this prefix will find it.
-        hints.recordCached(context.chain, found, Infinity, now)
-        const { instruments, decisions } = parts
-        const arm = { team: context.team, policy: decision.policy }
-        instruments.promptTokens.add(context.chain.totalTokens, arm)
-        instruments.cachedTokens.add(found.matchedTokens, arm)
+        hints.recordCached(context.chain, claimHints, Infinity, now)
+        const { instruments, decisions } = deps
+        const labels = { team: context.team, policy: decision.policy }
+        instruments.promptTokens.add(context.chain.totalTokens, labels)
+        instruments.cachedTokens.add(claimHints.matchedTokens, labels)
         decisions.recordAttempt(context.request, {
           server: server.id,
           outcome: 'claimed',
-          matchedTokens: found.matchedTokens,
+          matchedTokens: claimHints.matchedTokens,
         })
       },
     })
-    const isLate = result.kind === 'cancelled' && !context.callerSignal.aborted
-    return isLate ? { kind: 'lost', reason: 'no token in time', notRun: false } : result
+    const hasTimedOut = result.kind === 'cancelled' && !context.callerSignal.aborted
+    return hasTimedOut ? { kind: 'lost', reason: 'no token in time', notRun: false } : result
   } finally {
-    aborting.close()
+    attemptSignal.close()
     hints.removeCall(server.id)
   }
 }
 
 /** Takes in what an attempt came to; true when the request is served or its caller is gone. */
 async function applyResult(
-  parts: RelayDependencies,
+  deps: RelayDependencies,
   context: CallContext,
   state: RelayState,
   decision: RoutingDecision,
   result: AttemptResult,
 ): Promise<boolean> {
   const { server } = decision.chosen
-  const now = parts.timers.now()
+  const now = deps.timers.now()
   const { kind } = result
   const reason = 'reason' in result ? result.reason : undefined
   if (kind !== 'declined') {
-    parts.decisions.recordAttempt(context.request, { server: server.id, outcome: kind, reason })
+    deps.decisions.recordAttempt(context.request, { server: server.id, outcome: kind, reason })
   }
   switch (result.kind) {
     case 'finished':
-      parts.ejection.record(server.id, 'ok', now)
+      deps.ejection.record(server.id, 'ok', now)
       state.sink.finish()
       return true
     case 'cancelled':
       return true
     case 'declined':
       state.attempts -= 1
-      await recordDecline(parts, context, state, server, result)
+      await recordDecline(deps, context, state, server, result)
       return false
     default:
-      parts.ejection.record(server.id, 'failed', now)
-      parts.state.hints.remove(server.id)
+      deps.ejection.record(server.id, 'failed', now)
+      deps.state.hints.remove(server.id)
       state.excluded.add(server.id)
       state.mayHaveRun ||= !result.notRun
-      return finishDelivered(state)
+      return finishCompleteStream(state)
   }
 }
 
 /** Ends a stream whose text was whole and lacked only its final marker. */
-function finishDelivered(state: RelayState): boolean {
+function finishCompleteStream(state: RelayState): boolean {
   const { sink } = state
   if (sink.delivered.length === 0) return false
   if (sink.delivered.at(-1) !== DONE_MARKER) {
@@ -171,40 +171,40 @@
   return true
 }
 
-function checkRetry(parts: RelayDependencies, context: CallContext, state: RelayState): void {
-  const fleet = parts.config.current()
+function checkRetry(deps: RelayDependencies, context: CallContext, state: RelayState): void {
+  const fleet = deps.config.current()
   if (state.attempts === 0) return
-  const isSpent = state.attempts >= (fleet?.routing.maxAttempts ?? 1)
-  if (isSpent || !parts.budget.takeRetry()) throw createUnavailableError(state)
-  parts.instruments.retries.add(1, { team: context.team })
+  const isExhausted = state.attempts >= (fleet?.routing.maxAttempts ?? 1)
+  if (isExhausted || !deps.budget.takeRetry()) throw createUnavailableError(state)
+  deps.instruments.retries.add(1, { team: context.team })
 }
 
-async function relayAttempts(parts: RelayDependencies, context: CallContext, state: RelayState) {
-  parts.budget.addFirstTry()
+async function relayAttempts(deps: RelayDependencies, context: CallContext, state: RelayState) {
+  deps.budget.addFirstTry()
   for (;;) {
-    const fleet = parts.config.current()
+    const fleet = deps.config.current()
     if (!fleet) throw new SpoolgateError('controlUnavailable', 'no configuration yet; try later')
-    const decision = await chooseNextServer(parts, context, state, fleet)
-    checkRetry(parts, context, state)
+    const decision = await chooseNextServer(deps, context, state, fleet)
+    checkRetry(deps, context, state)
     state.attempts += 1
-    const result = await runOnce(parts, context, state, decision)
-    if (await applyResult(parts, context, state, decision, result)) return
+    const result = await runServerAttempt(deps, context, state, decision)
+    if (await applyResult(deps, context, state, decision, result)) return
   }
 }
 
 /** Relays a repeatable request to its end. */
 export async function relayRepeatable(
-  parts: RelayDependencies,
+  deps: RelayDependencies,
   context: CallContext,
 ): Promise<void> {
-  const policy = parts.serverSelector.findPolicy(context)
+  const policy = deps.serverSelector.findPolicy(context)
   const state: RelayState = {
     sink: createStreamSink({
       response: context.response,
       onFirstToken: () => {
-        state.firstTokenMs = parts.timers.now() - context.startedAt
-        const arm = { team: context.team, policy }
-        parts.instruments.firstTokenMs.record(state.firstTokenMs, arm)
+        state.firstTokenMs = deps.timers.now() - context.startedAt
+        const labels = { team: context.team, policy }
+        deps.instruments.firstTokenMs.record(state.firstTokenMs, labels)
       },
     }),
     excluded: new Set(),
@@ -215,15 +215,15 @@
     firstTokenMs: undefined,
   }
   try {
-    await relayAttempts(parts, context, state)
+    await relayAttempts(deps, context, state)
     const outcome = context.callerSignal.aborted ? 'callerGone' : 'finished'
-    parts.instruments.requests.add(1, { team: context.team, policy, outcome })
-    parts.decisions.recordOutcome(context.request, outcome, state.firstTokenMs)
+    deps.instruments.requests.add(1, { team: context.team, policy, outcome })
+    deps.decisions.recordOutcome(context.request, outcome, state.firstTokenMs)
   } catch (cause) {
     const error = cause instanceof SpoolgateError ? cause : undefined
     const outcome = error?.kind ?? 'internal'
-    parts.instruments.requests.add(1, { team: context.team, policy, outcome })
-    parts.decisions.recordOutcome(context.request, outcome, state.firstTokenMs)
+    deps.instruments.requests.add(1, { team: context.team, policy, outcome })
+    deps.decisions.recordOutcome(context.request, outcome, state.firstTokenMs)
     if (!error || !state.sink.hasBegun()) throw cause
     state.sink.fail(error)
   }
--- a/packages/router/src/relay/sinks.ts
+++ b/packages/router/src/relay/sinks.ts
@@ -32,26 +32,26 @@
 
 /** Creates a sink in memory. */
 export function createBufferSink(): BufferSink {
-  const parts: Buffer[] = []
+  const chunks: Buffer[] = []
   let head: HeadFrame | undefined
   return {
-    onHead: (found) => {
-      head = found
+    onHead: (receivedHead) => {
+      head = receivedHead
     },
-    onData: (data) => void parts.push(Buffer.from(formatEvent(data))),
-    onBody: (body) => void parts.push(decodeBody(body)),
+    onData: (data) => void chunks.push(Buffer.from(formatEvent(data))),
+    onBody: (body) => void chunks.push(decodeBody(body)),
     flush: () => undefined,
-    findResponse: () => head && { head, body: Buffer.concat(parts) },
+    findResponse: () => head && { head, body: Buffer.concat(chunks) },
   }
 }
 
 /** Sends a whole answer to a caller. */
-export function sendBufferedResponse(response: ServerResponse, answer: BufferedResponse): void {
-  response.writeHead(answer.head.status, {
-    'content-type': answer.head.contentType,
-    'content-length': answer.body.length,
+export function sendBufferedResponse(response: ServerResponse, buffered: BufferedResponse): void {
+  response.writeHead(buffered.head.status, {
+    'content-type': buffered.head.contentType,
+    'content-length': buffered.body.length,
   })
-  response.end(answer.body)
+  response.end(buffered.body)
 }
 
 /** Sink that relays a stream to a caller. */
@@ -81,9 +81,9 @@
   const delivered: string[] = []
   let pending = ''
   let hasBegun = false
-  let resumed: DeliveredStream | undefined
-  let whole = createBufferSink()
-  let isWhole = false
+  let resumedFrom: DeliveredStream | undefined
+  let bufferSink = createBufferSink()
+  let isBuffered = false
 
   const writePending = () => {
     if (pending === '') return true
@@ -100,12 +100,12 @@
     delivered,
     hasBegun: () => hasBegun,
     resumeFrom: (from) => {
-      resumed = from
-      whole = createBufferSink()
+      resumedFrom = from
+      bufferSink = createBufferSink()
     },
     onHead: (head) => {
-      isWhole = !head.contentType.startsWith(EVENT_STREAM)
-      if (isWhole) return whole.onHead(head)
+      isBuffered = !head.contentType.startsWith(EVENT_STREAM)
+      if (isBuffered) return bufferSink.onHead(head)
       if (hasBegun) return
       hasBegun = true
       response.writeHead(head.status, {
@@ -115,18 +115,18 @@
     },
     onData: (data) => {
       if (delivered.length === 0) onFirstToken()
-      const payload = resumed ? formatContinuedChunk(data, resumed) : data
+      const payload = resumedFrom ? formatContinuedChunk(data, resumedFrom) : data
       delivered.push(payload)
       pending += formatEvent(payload)
     },
     onBody: (body) => {
       onFirstToken()
-      whole.onBody(body)
+      bufferSink.onBody(body)
     },
     flush: () => (writePending() || response.destroyed ? undefined : waitUntilDrained()),
     finish: () => {
-      const answer = whole.findResponse()
-      if (isWhole && answer) return sendBufferedResponse(response, answer)
+      const buffered = bufferSink.findResponse()
+      if (isBuffered && buffered) return sendBufferedResponse(response, buffered)
       writePending()
       response.end()
     },
--- a/packages/routing/src/policies/expectedFirstToken.ts
+++ b/packages/routing/src/policies/expectedFirstToken.ts
@@ -12,17 +12,17 @@
 /** Level, from 1, of the trader or household. */
 const INNER_LEVEL = 3
 /** Assumed speed of a server without hints, in prompt tokens a millisecond. */
-const DEFAULT_RATE = 10
+const DEFAULT_PREFILL_RATE = 10
 /** Chance that a server of the subset holds the outer levels though this router has not seen it. */
-const OUTER_PRIOR = 0.7
+const OUTER_CACHED_PROBABILITY = 0.7
 /** The same for the inner level at its home server. */
-const INNER_PRIOR = 0.4
+const INNER_CACHED_PROBABILITY = 0.4
 /** Part of the cost of storing the outer levels once more that a choice outside the subset pays. */
-const SPREAD_PRICE = 1
+const REPLICATION_COST_FACTOR = 1
 /** Calls over the bound are dearer by this for each, in ms, so that order among them stays. */
 const OVERLOAD_PENALTY_MS = 100_000
 /** Most servers that are scored for one decision, random ones apart. */
-const MAX_SCORED = 24
+const MAX_SCORED_SERVERS = 24
 const RANDOM_CANDIDATES = 6
 
 interface Placement {
@@ -64,20 +64,20 @@
  * subset, those known to hold a part of the prompt, and a few drawn at random, which is where load
  * finds its way to idle servers.
  */
-function listCandidates(input: PolicyInput, place: Placement): BackendServer[] {
+function listCandidates(input: PolicyInput, placement: Placement): BackendServer[] {
   const { servers, random, state } = input
-  if (servers.length <= MAX_SCORED) return servers.filter(input.isAllowed)
+  if (servers.length <= MAX_SCORED_SERVERS) return servers.filter(input.isAllowed)
   const holders = state.hints.listHolders(input.chain)
-  const listed = new Set(place.subset)
+  const candidates = new Set(placement.subset)
   for (const server of servers) {
-    if (listed.size >= MAX_SCORED) break
-    if (holders.has(server.id) && input.isAllowed(server)) listed.add(server)
+    if (candidates.size >= MAX_SCORED_SERVERS) break
+    if (holders.has(server.id) && input.isAllowed(server)) candidates.add(server)
   }
   for (let draw = 0; draw < RANDOM_CANDIDATES; draw += 1) {
     const server = servers[random.nextInt(servers.length)]
-    if (input.isAllowed(server)) listed.add(server)
+    if (input.isAllowed(server)) candidates.add(server)
   }
-  return listed.size > 0 ? [...listed] : servers.filter(input.isAllowed)
+  return candidates.size > 0 ? [...candidates] : servers.filter(input.isAllowed)
 }
 
 /** Expected wait at a server: what it last said, less the time since, plus what was sent there. */
@@ -89,11 +89,11 @@
 }
 
 /** Tokens that a server is presumed to hold of a prompt that this router has not seen there. */
-function presumeMatched(server: BackendServer, place: Placement): number {
-  if (!place.subset.has(server)) return 0
-  const outerTokens = (place.outer?.tokens ?? 0) * OUTER_PRIOR
-  if (server !== place.home) return outerTokens
-  return Math.max(outerTokens, (place.inner?.tokens ?? 0) * INNER_PRIOR)
+function estimateMatchedTokens(server: BackendServer, placement: Placement): number {
+  if (!placement.subset.has(server)) return 0
+  const outerTokens = (placement.outer?.tokens ?? 0) * OUTER_CACHED_PROBABILITY
+  if (server !== placement.home) return outerTokens
+  return Math.max(outerTokens, (placement.inner?.tokens ?? 0) * INNER_CACHED_PROBABILITY)
 }
 
 function findMeanCalls(input: PolicyInput, candidates: readonly BackendServer[]): number {
@@ -105,58 +105,62 @@
 function scoreServer(
   input: PolicyInput,
   server: BackendServer,
-  place: Placement,
+  placement: Placement,
   meanCalls: number,
 ): RankedCandidate {
   const hints = input.state.hints.find(server.id)?.hints
-  const rate = hints?.prefillTokensPerMs ?? DEFAULT_RATE
+  const rate = hints?.prefillTokensPerMs ?? DEFAULT_PREFILL_RATE
   const known = input.state.hints.estimateMatched(input.chain, server.id, input.now)
-  const matched = known ?? presumeMatched(server, place)
+  const matched = known ?? estimateMatchedTokens(server, placement)
   const recomputeMs = (input.chain.totalTokens - matched) / rate
   const queueMs = estimateQueueMs(input, server, rate)
   const waitMs = queueMs + input.networkDelayMs(server) + input.slowStartPenaltyMs(server.id)
   const firstTokenMs = waitMs + recomputeMs
   const { tailWeight } = input.parameters
-  const isOutside = place.outer !== undefined && !place.subset.has(server) && matched === 0
-  const spreadMs = isOutside ? ((place.outer?.tokens ?? 0) / rate) * SPREAD_PRICE : 0
+  const isOutsideSubset =
+    placement.outer !== undefined && !placement.subset.has(server) && matched === 0
+  const replicationMs = isOutsideSubset
+    ? ((placement.outer?.tokens ?? 0) / rate) * REPLICATION_COST_FACTOR
+    : 0
   const calls = hints?.calls ?? 0
-  const bound = input.boundedLoadFactor * (meanCalls + 1)
-  const overload = Math.max(0, calls - bound) * OVERLOAD_PENALTY_MS
-  const score = tailWeight * firstTokenMs + (1 - tailWeight) * (recomputeMs + spreadMs) + overload
+  const callLimit = input.boundedLoadFactor * (meanCalls + 1)
+  const overloadPenaltyMs = Math.max(0, calls - callLimit) * OVERLOAD_PENALTY_MS
+  const score =
+    tailWeight * firstTokenMs + (1 - tailWeight) * (recomputeMs + replicationMs) + overloadPenaltyMs
   const reason = `queue=${queueMs.toFixed(0)}ms,matched=${Math.round(matched)},calls=${calls}`
   return { server, score, reason, firstTokenMs, isMatchEstimated: known === undefined }
 }
 
-function recordDemand(input: PolicyInput, place: Placement): void {
-  if (!place.outer || place.subset.size === 0) return
-  const waits = [...place.subset].map((server) => {
-    const rate = input.state.hints.find(server.id)?.hints.prefillTokensPerMs ?? DEFAULT_RATE
+function recordSubsetDemand(input: PolicyInput, placement: Placement): void {
+  if (!placement.outer || placement.subset.size === 0) return
+  const estimates = [...placement.subset].map((server) => {
+    const rate = input.state.hints.find(server.id)?.hints.prefillTokensPerMs ?? DEFAULT_PREFILL_RATE
     return { queueMs: estimateQueueMs(input, server, rate), rate }
   })
-  const shortest = waits.reduce((best, wait) => (wait.queueMs < best.queueMs ? wait : best))
-  const spreadMs = place.outer.tokens / shortest.rate
-  input.state.subsetWidths.record(place.outer.hash, shortest.queueMs, spreadMs, input.now)
+  const shortest = estimates.reduce((best, wait) => (wait.queueMs < best.queueMs ? wait : best))
+  const replicationMs = placement.outer.tokens / shortest.rate
+  input.state.subsetWidths.record(placement.outer.hash, shortest.queueMs, replicationMs, input.now)
 }
 
 /** Candidates that are asked before a choice, or when it would rest on a guess. */
-const PROBES = 3
+const PROBED_CANDIDATES = 3
 
 /** Estimates the first token everywhere and takes the cheapest. */
 export const expectedFirstToken: Policy = {
   probes: 0,
-  probesWhenUncertain: PROBES,
+  probesWhenUncertain: PROBED_CANDIDATES,
   rank: (input) => {
-    const place = findPlacement(input)
-    recordDemand(input, place)
-    const candidates = listCandidates(input, place)
+    const placement = findPlacement(input)
+    recordSubsetDemand(input, placement)
+    const candidates = listCandidates(input, placement)
     const meanCalls = findMeanCalls(input, candidates)
-    const ranked = candidates.map((server) => scoreServer(input, server, place, meanCalls))
+    const ranked = candidates.map((server) => scoreServer(input, server, placement, meanCalls))
     return ranked.sort((a, b) => a.score - b.score)
   },
 }
 
 /** Asks the likeliest few for their queue and matched prefix before it chooses among them. */
 export const probeFirst: Policy = {
-  probes: PROBES,
+  probes: PROBED_CANDIDATES,
   rank: expectedFirstToken.rank,
 }
--- a/packages/routing/src/table/routingTable.ts
+++ b/packages/routing/src/table/routingTable.ts
@@ -140,8 +140,8 @@
     .map(
       ({ group }) => `route ${route.name}: group ${group} is not defined; define it or remove it`,
     )
-  const weights = route.targets.reduce((sum, { weight }) => sum + weight, 0)
-  if (!(weights > 0)) problems.push(`route ${route.name}: weights add up to 0; set one above 0`)
+  const totalWeight = route.targets.reduce((sum, { weight }) => sum + weight, 0)
+  if (!(totalWeight > 0)) problems.push(`route ${route.name}: weights add up to 0; set one above 0`)
   if (route.targets.some(({ weight }) => weight < 0)) {
     problems.push(`route ${route.name}: a weight is below 0; set it to 0 or more`)
   }
@@ -156,11 +156,11 @@
 /** Lists what makes a table invalid; empty for a valid one. */
 export function listTableProblems(table: RoutingTable): string[] {
   const groups = new Set(table.groups.map(({ name }) => name))
-  const places = table.routes.map(({ host, pathPrefix }) => `${host}${pathPrefix}`)
+  const routeKeys = table.routes.map(({ host, pathPrefix }) => `${host}${pathPrefix}`)
   const keys = (table.teams ?? []).flatMap((team) => [...new Set(team.keys)])
   return [
     ...table.routes.flatMap((route) => listRouteProblems(route, groups)),
-    ...listDuplicates(places).map((place) => `two routes for ${place}; remove one`),
+    ...listDuplicates(routeKeys).map((place) => `two routes for ${place}; remove one`),
     // Keys are secrets, so the message names none.
     ...listDuplicates(keys).map(() => 'two teams hold the same key; give each its own'),
     ...listDuplicates(table.groups.map(({ name }) => name)).map(
--- a/packages/routing/src/table/tableIndex.ts
+++ b/packages/routing/src/table/tableIndex.ts
@@ -44,12 +44,12 @@
 
 /** Chooses one of a route's groups by weight. */
 export function chooseTarget(route: RouteRule, random: RandomSource): string {
-  const total = route.targets.reduce((sum, { weight }) => sum + weight, 0)
-  let left = random.next() * total
+  const totalWeight = route.targets.reduce((sum, { weight }) => sum + weight, 0)
+  let remaining = random.next() * totalWeight
   for (const { group, weight } of route.targets) {
-    left -= weight
-    if (left < 0) return group
+    remaining -= weight
+    if (remaining < 0) return group
   }
-  const usable = route.targets.filter(({ weight }) => weight > 0)
-  return usable[usable.length - 1].group
+  const eligible = route.targets.filter(({ weight }) => weight > 0)
+  return eligible[eligible.length - 1].group
 }
