--- a/packages/router/src/relay/attempt.ts
+++ b/packages/router/src/relay/attempt.ts
@@ -1,4 +1,7 @@
-/** One attempt: hands a call to a sidecar and reads its answer, over several connections if need be. */
+/**
+ * One attempt: sends a call to a sidecar and reads the response, reconnecting when a connection
+ * breaks.
+ */
 import type { IncomingMessage } from 'node:http'
 import {
   ConnectionError,
@@ -26,7 +29,7 @@
   type FrameCursor,
 } from './frameReader.js'
 
-/** Parts that every attempt of a router needs. */
+/** Dependencies of every attempt. */
 export interface AttemptDependencies {
   readonly client: HttpClient
   readonly timers: TimerService
@@ -34,29 +37,29 @@
   readonly invariants: Invariants
 }
 
-/** One attempt. */
+/** Input of {@link runAttempt}. */
 export interface AttemptRequest {
   readonly sidecarUrl: string
   readonly header: CallHeader
   readonly body: Buffer
   readonly sink: ResponseSink
-  /** Aborted when the caller left, or when the attempt took too long to begin. */
+  /** Aborted when the caller disconnects or the first token takes too long. */
   readonly signal: AbortSignal
-  /** Called with the hints of a claim. */
+  /** Called with the hints of the sidecar when it accepts the call. */
   readonly onClaim: (hints: ReplyHints) => void
 }
 
-/** How an attempt ended. */
+/** Result of an attempt. */
 export type AttemptResult =
   | { readonly kind: 'finished' }
   | { readonly kind: 'declined'; readonly decline: Decline; readonly hints: ReplyHints }
-  /** The backend server failed; `notRun` when it never got a byte of the call. */
+  /** The backend server failed; `notRun` if it received no byte of the call. */
   | { readonly kind: 'failed'; readonly reason: string; readonly notRun: boolean }
-  /** The sidecar cannot be reached; `notRun` when it never got a byte of the call. */
+  /** The sidecar cannot be reached; `notRun` if it received no byte of the call. */
   | { readonly kind: 'lost'; readonly reason: string; readonly notRun: boolean }
   | { readonly kind: 'cancelled' }
 
-/** Tries to read on after a connection broke. */
+/** Consecutive reconnects without a new frame after which the sidecar counts as unreachable. */
 const MAX_RESUME_TRIES = 4
 const RESUME_DELAY_MS = 50
 const RESUME_TIMEOUT_MS = 1_000
@@ -71,7 +74,7 @@
   return `${sidecarUrl}/calls/${header.request}/${header.attempt}`
 }
 
-/** Frees the engine's slot of an attempt that nobody waits for; failures need no answer. */
+/** Frees the engine slot of an abandoned attempt, without waiting; failures are only logged. */
 export function cancelAttempt(
   deps: AttemptDependencies,
   sidecarUrl: string,
@@ -107,7 +110,7 @@
   return undefined
 }
 
-/** Reads on after a broken connection until the answer has ended or the sidecar is given up. */
+/** Resumes reading after a broken connection until the response ends or the reconnects are used up. */
 export async function resumeAttempt(
   deps: AttemptDependencies,
   request: AttemptRequest,
@@ -127,7 +130,7 @@
     if (cursor.sequence > previousSequence) tries = 0
   }
   if (request.signal.aborted) return { kind: 'cancelled' }
-  return { kind: 'lost', reason: 'sidecar does not answer', notRun: false }
+  return { kind: 'lost', reason: 'sidecar does not respond', notRun: false }
 }
 
 async function sendCall(
@@ -153,7 +156,7 @@
   }
 }
 
-/** Runs one attempt to its end; cancels it at the sidecar when the signal aborts. */
+/** Runs one attempt to its end; cancels it at the sidecar if the signal aborts. */
 export async function runAttempt(
   deps: AttemptDependencies,
   request: AttemptRequest,
--- a/packages/router/src/relay/callContext.ts
+++ b/packages/router/src/relay/callContext.ts
@@ -1,40 +1,40 @@
-/** One caller's request on its way through the router. */
+/** Context of a request that the router serves. */
 import type { ServerResponse } from 'node:http'
 import type { Fleet, TeamParameters } from '@spoolgate/config'
 import type { RequestId, TeamId, WeightsVersion } from '@spoolgate/core'
 import type { CallHeader, PrefixChain } from '@spoolgate/routing'
 
-/** Facts about a request that do not change while it is served. */
+/** Properties of a request that stay constant while it is served. */
 export interface CallContext {
   readonly request: RequestId
   readonly team: TeamId
   readonly parameters: TeamParameters
   readonly method: string
-  /** Path as the backend server knows it. */
+  /** Path of the request to the backend server. */
   readonly path: string
   readonly contentType: string
   readonly body: Buffer
   /** Model or group. */
   readonly target: string
   readonly chain: PrefixChain
-  /** Prompt tokens and the most that may be generated, as limits count them. */
+  /** Prompt tokens plus the maximum of generated tokens; limits count this sum. */
   readonly tokens: number
   readonly weightsVersion: WeightsVersion | undefined
-  /** Whether the caller asked for a stream. */
+  /** Whether the caller requested a stream. */
   readonly isStream: boolean
-  /** Keeps the requests of one session on one policy. */
+  /** Session key; all requests of a session use the same policy. */
   readonly session: string
   readonly priority: number
-  /** Monotonic instant by which the first token must be there; undefined for none. */
+  /** Monotonic time by which the first token is due; undefined for no deadline. */
   readonly deadline: number | undefined
-  /** Monotonic instant at which the request arrived. */
+  /** Monotonic time at which the request arrived. */
   readonly startedAt: number
   readonly response: ServerResponse
-  /** Aborted when the caller leaves. */
+  /** Aborted when the caller disconnects. */
   readonly callerSignal: AbortSignal
 }
 
-/** Finds the weight of a team in fair queues now, with its protected windows. */
+/** Finds the current weight of a team in fair queues, including active protected windows. */
 export function findTeamShare(parameters: TeamParameters, wallNow: number): number {
   const factors = parameters.protectedWindows
     .filter((window) => window.from <= wallNow && wallNow < window.until)
@@ -42,7 +42,7 @@
   return parameters.share * Math.max(1, ...factors)
 }
 
-/** Builds the part of a call's header that is the same for all its attempts. */
+/** Builds the part of the call header that all attempts have in common. */
 export function buildCallHeader(
   context: CallContext,
   fleet: Fleet,
--- a/packages/router/src/relay/continuation.ts
+++ b/packages/router/src/relay/continuation.ts
@@ -1,6 +1,6 @@
 /**
- * Continuation of a stream on another backend server: the text that the caller already has goes
- * along as a forced prefix, and the parts that follow are made to look like one answer.
+ * Continuation of a stream on another backend server: the text already delivered to the caller is
+ * sent along as a forced prefix, and the chunks that follow take the id of the first stream.
  */
 
 interface StreamChunk {
@@ -13,18 +13,18 @@
   }[]
 }
 
-/** What the caller has of a stream. */
+/** The part of a stream that the caller has received. */
 export interface DeliveredStream {
-  /** Text so far. */
+  /** Text received so far. */
   readonly text: string
-  /** Identity that later parts must repeat. */
+  /** Id that later chunks must repeat, like `created`. */
   readonly id: string | undefined
   readonly created: number | undefined
-  /** The part that says why generation ended has been delivered. */
+  /** Whether the chunk with the finish reason has been delivered. */
   readonly isFinished: boolean
 }
 
-/** Last event of a stream. */
+/** Payload of the last event of a stream. */
 export const DONE_MARKER = '[DONE]'
 
 function readText(chunk: StreamChunk): string | undefined {
@@ -43,7 +43,10 @@
   }
 }
 
-/** Parses what was delivered; undefined when it cannot be continued, as with tool calls. */
+/**
+ * Parses the delivered chunks. Returns undefined if the stream cannot be continued, as with tool
+ * calls or several choices.
+ */
 export function parseDeliveredChunks(payloads: readonly string[]): DeliveredStream | undefined {
   const chunks = payloads.filter((payload) => payload !== DONE_MARKER).map(parseChunk)
   const texts = chunks.map((chunk) => chunk && readText(chunk))
@@ -59,7 +62,7 @@
   }
 }
 
-/** Gives a part of a continued stream the identity of the first part. */
+/** Sets the id and creation time of the first chunk on a chunk of a continued stream. */
 export function formatContinuedChunk(payload: string, delivered: DeliveredStream): string {
   if (payload === DONE_MARKER || delivered.id === undefined) return payload
   const chunk = JSON.parse(payload) as StreamChunk
--- a/packages/router/src/relay/declines.ts
+++ b/packages/router/src/relay/declines.ts
@@ -1,4 +1,4 @@
-/** The choice of a backend server, and what a router does when its sidecar declined the call. */
+/** Choice of the next backend server, and handling of calls that a sidecar declined. */
 import type { BackendServer, Fleet } from '@spoolgate/config'
 import { type BackendServerId, SpoolgateError } from '@spoolgate/core'
 import type { RoutingDecision } from '../decide/serverSelector.js'
@@ -6,22 +6,25 @@
 import type { CallContext } from './callContext.js'
 import type { RelayDependencies } from './relayDependencies.js'
 
-/** Part of a request's state that declines change. */
+/** State of a request that declines update. */
 export interface DeclineState {
   readonly excluded: Set<BackendServerId>
-  /** Shortest time after which a backend server that declined may take the request, in ms. */
+  /** Shortest time after which a server that declined may accept the request, in ms. */
   retryAfterMs: number | undefined
-  /** Whether any attempt may have reached a backend server; then no refusal may say not run. */
+  /** Whether any attempt may have run; if so, an error must not report `notRun`. */
   mayHaveRun: boolean
   /** Declines because the first token would take longer than the router expected. */
   latencyDeclines: number
 }
 
-/** Longest wait for a configuration that a sidecar already has, in ms. */
+/** Longest wait for a newer configuration that a sidecar already has, in ms. */
 const CONFIG_WAIT_TIMEOUT_MS = 2_000
 const MS_PER_SECOND = 1_000
 
-/** Takes in a decline: learns from its hints, and leaves the backend server out or catches up. */
+/**
+ * Handles a decline: records its hints, then excludes the backend server unless the reason allows
+ * another try, if need be after waiting for a newer configuration.
+ */
 export async function recordDecline(
   deps: RelayDependencies,
   context: CallContext,
@@ -48,7 +51,7 @@
     state.latencyDeclines += 1
     return
   }
-  // The hints just recorded name the incarnation that can be tried next.
+  // The hints recorded above contain the current incarnation, so the server can be tried again.
   if (decline.declined === 'wrongIncarnation') return
   state.excluded.add(server.id)
   const { retryAfterMs } = decline
@@ -58,7 +61,7 @@
 
 /**
  * Chooses the backend server to try next.
- * @throws SpoolgateError when none is left, with whether the request may have run.
+ * @throws SpoolgateError if none is left; `notRun` shows whether the request may have run.
  */
 export async function chooseNextServer(
   deps: RelayDependencies,
@@ -74,17 +77,17 @@
   throw createUnavailableError(state)
 }
 
-/** Builds the refusal of a request for which no backend server is left. */
+/** Creates the error for a request that no backend server is left to try for. */
 export function createUnavailableError(state: DeclineState): SpoolgateError {
   const { retryAfterMs, excluded, mayHaveRun } = state
   const seconds = Math.max(1, Math.ceil((retryAfterMs ?? MS_PER_SECOND) / MS_PER_SECOND))
   const options = { notRun: !mayHaveRun, retryAfterSeconds: seconds }
   if (excluded.size === 0) {
-    const message = 'no backend server is in service; try again later'
+    const message = 'no backend server is available; try again later'
     return new SpoolgateError('noBackendServer', message, options)
   }
   if (mayHaveRun) {
-    const message = 'the backend servers that were tried failed; send the request again'
+    const message = 'all backend servers tried have failed; send the request again'
     return new SpoolgateError('backendFailed', message, options)
   }
   const message = `all backend servers are busy; try again in ${seconds} s`
--- a/packages/router/src/relay/dispatchOutcome.ts
+++ b/packages/router/src/relay/dispatchOutcome.ts
@@ -1,4 +1,4 @@
-/** Follows one dispatch of an unrepeatable request until it is known what became of it. */
+/** Determines the outcome of one dispatch of an unrepeatable request. */
 import type { BackendServer } from '@spoolgate/config'
 import type { ClaimedDispatch } from '@spoolgate/control'
 import { toAttemptNumber, waitFor } from '@spoolgate/core'
@@ -11,10 +11,10 @@
 const STATE_QUERY_TIMEOUT_MS = 1_000
 const MAX_STATE_QUERIES = 5
 const STATE_QUERY_DELAY_MS = 100
-/** Times that an answer is read on before the caller should ask again. */
+/** Rounds of state query and resume, after which the caller is asked to retry. */
 const MAX_RESOLVE_ROUNDS = 3
 
-/** Asks a sidecar what became of a dispatch; undefined when it does not answer. */
+/** Fetches the state of a dispatch from its sidecar; undefined if the sidecar does not respond. */
 async function fetchDispatchState(
   deps: RelayDependencies,
   server: BackendServer,
@@ -36,17 +36,17 @@
   return undefined
 }
 
-/** What is known once a dispatch has been followed to its end. */
+/** Outcome of a dispatch. */
 export type DispatchOutcome =
   | { readonly kind: 'answered'; readonly response: BufferedResponse }
-  /** It did not run and never will; another dispatch may be given. */
+  /** It did not run and can no longer run, so another dispatch is allowed. */
   | { readonly kind: 'barred' }
-  /** Nobody can tell whether it ran. */
+  /** It cannot be determined whether it ran. */
   | { readonly kind: 'unknown' }
-  /** The sidecar cannot be asked now; the claim stays as it is. */
+  /** The sidecar does not respond at present; the claim stays unchanged. */
   | { readonly kind: 'unreachable' }
 
-/** One dispatch that is being followed. */
+/** An attempt for one dispatch. */
 export interface DispatchAttempt {
   readonly server: BackendServer
   readonly dispatch: ClaimedDispatch
@@ -54,7 +54,7 @@
   readonly request: AttemptRequest
 }
 
-/** Prepares to follow a dispatch, as its sender or in another router's place. */
+/** Builds the attempt for a dispatch, whether this router or another one sent it. */
 export function buildDispatchAttempt(
   context: CallContext,
   server: BackendServer,
@@ -75,14 +75,14 @@
     header,
     body: context.body,
     sink,
-    // A caller that leaves does not stop what must not be repeated.
+    // Never aborted: the request cannot be repeated, so it runs on when the caller disconnects.
     signal: new AbortController().signal,
     onClaim: (hints) => deps.state.hints.record(hints, deps.timers.now()),
   }
   return { server, dispatch, sink, request }
 }
 
-/** Settles a dispatch whose connection broke, by asking the sidecar. */
+/** Resolves a dispatch whose connection broke by querying the sidecar for its state. */
 export async function resolveInterruptedDispatch(
   deps: RelayDependencies,
   attempt: DispatchAttempt,
@@ -108,7 +108,7 @@
   }
 }
 
-/** Works out what an attempt of a dispatch came to. */
+/** Maps the result of an attempt to the outcome of its dispatch. */
 export async function resolveAttemptResult(
   deps: RelayDependencies,
   attempt: DispatchAttempt,
--- a/packages/router/src/relay/frameReader.ts
+++ b/packages/router/src/relay/frameReader.ts
@@ -1,27 +1,27 @@
-/** Reading of the frames of an attempt, with a check that none is missing, repeated or late. */
+/** Reads the frames of an attempt and checks that they arrive once each and in order. */
 import type { IncomingMessage } from 'node:http'
 import { readTextStream, type Invariants } from '@spoolgate/core'
 import { FRAME_EVENTS, type BodyFrame, type EndFrame, type HeadFrame } from '@spoolgate/routing'
 import { createParser, type EventSourceMessage } from 'eventsource-parser'
 
-/** Takes the parts of an answer as they arrive. */
+/** Receives the frames of a response as they arrive. */
 export interface ResponseSink {
   onHead(head: HeadFrame): void
   onData(data: string): void
   onBody(body: BodyFrame): void
-  /** Passes on what came in one piece; returns a promise when the caller must catch up first. */
+  /** Writes out what one read delivered; returns a promise if the caller applies backpressure. */
   flush(): Promise<void> | undefined
 }
 
-/** Progress of one attempt over all its connections. */
+/** Read position of one attempt across all its connections. */
 export interface FrameCursor {
-  /** Number of the last frame that was taken. */
+  /** Sequence number of the last frame handled. */
   sequence: number
-  /** Last frame, once it has arrived. */
+  /** End frame, once it has arrived. */
   end: EndFrame | undefined
 }
 
-/** Creates the progress of an attempt that has not begun. */
+/** Creates the cursor of an attempt that has not received any frame. */
 export function createFrameCursor(): FrameCursor {
   return { sequence: 0, end: undefined }
 }
@@ -33,7 +33,7 @@
   invariants: Invariants,
 ): void {
   const sequence = Number(event.id)
-  // Frames that are already known come again when a connection is resumed.
+  // A resumed connection may repeat frames that were already handled.
   if (sequence <= cursor.sequence) return
   invariants.assert('sequenceGapless', sequence === cursor.sequence + 1, () => ({
     expected: cursor.sequence + 1,
@@ -46,7 +46,7 @@
   else if (event.event === FRAME_EVENTS.end) cursor.end = JSON.parse(event.data) as EndFrame
 }
 
-/** Reads frames until the connection ends; `cursor.end` says whether the answer did. */
+/** Reads frames until the connection ends; `cursor.end` is set if the response is complete. */
 export async function readFrames(
   message: IncomingMessage,
   cursor: FrameCursor,
--- a/packages/router/src/relay/relayDependencies.ts
+++ b/packages/router/src/relay/relayDependencies.ts
@@ -1,4 +1,4 @@
-/** Parts of a router that serving any request needs. */
+/** Dependencies that the relay of any request needs. */
 import type { ConfigFollower, ControlClient } from '@spoolgate/control'
 import type { Counter, Histogram } from '@spoolgate/core'
 import type { Ejection, PolicyState, RetryBudget } from '@spoolgate/routing'
@@ -7,7 +7,7 @@
 import type { TeamLimits } from '../limits/teamLimits.js'
 import type { AttemptDependencies } from './attempt.js'
 
-/** Instruments of a router. */
+/** Metric instruments of a router. */
 export interface RouterInstruments {
   readonly requests: Counter
   readonly declines: Counter
@@ -18,7 +18,7 @@
   readonly firstTokenMs: Histogram
 }
 
-/** Parts shared by all requests of a router. */
+/** Dependencies shared by all requests of a router. */
 export interface RelayDependencies extends AttemptDependencies {
   readonly config: ConfigFollower
   readonly control: ControlClient
@@ -29,6 +29,6 @@
   readonly budget: RetryBudget
   readonly limits: TeamLimits
   readonly instruments: RouterInstruments
-  /** Keeps the router open until work that outlives its caller is done. */
+  /** Delays shutdown until work that may outlive its caller has finished. */
   readonly trackBackgroundWork: (work: Promise<unknown>) => void
 }
--- a/packages/router/src/relay/relayOnce.ts
+++ b/packages/router/src/relay/relayOnce.ts
@@ -1,7 +1,8 @@
 /**
- * Serves a request that may run at most once. Before it is dispatched, a durable claim names the
- * one sidecar incarnation that may run it; another dispatch follows only when that one has been
- * barred. What nobody can tell is said to be unknown, and is never run again.
+ * Serves a request that may run at most once. Before each dispatch, a durable claim records the one
+ * sidecar incarnation that may run it; another dispatch follows only after that one is barred. If
+ * it cannot be determined whether a dispatch ran, the outcome is reported as unknown and the
+ * request is never run again.
  */
 import { createHash } from 'node:crypto'
 import type { BackendServer, Fleet } from '@spoolgate/config'
@@ -33,7 +34,7 @@
 /** Idempotency key of a request. */
 export interface IdempotencyKey {
   readonly key: string
-  /** False when the router made the key, so that no earlier send can have used it. */
+  /** False if the router generated the key, so no earlier request can have used it. */
   readonly isFromCaller: boolean
 }
 
@@ -49,11 +50,11 @@
 function createOutcomeUnknownError(): SpoolgateError {
   return new SpoolgateError(
     'outcomeUnknown',
-    'the request may or may not have run and will not be run again; check with the service itself',
+    'it is unknown whether the request ran; it will not be run again, so check with the service',
   )
 }
 
-/** Finds which incarnation of a sidecar to name: from hints, or by asking it. */
+/** Finds the current incarnation of a sidecar from hints, or else from its status. */
 async function findIncarnation(
   deps: RelayDependencies,
   server: BackendServer,
@@ -88,15 +89,19 @@
     return await deps.control.send<'claim.open'>({ ...command, request, server, incarnation })
   } catch (cause) {
     if (!(cause instanceof SpoolgateError) || cause.kind !== 'controlUnavailable') throw cause
-    // Without a claim nothing was dispatched; but an earlier send of the caller's key may have run.
-    throw new SpoolgateError('controlUnavailable', 'claims cannot be made now; try again later', {
-      notRun: !state.mayHaveRun,
-      retryAfterSeconds: 2,
-    })
+    // Nothing was dispatched without a claim, but an earlier request with the same key may have run.
+    throw new SpoolgateError(
+      'controlUnavailable',
+      'claims are unavailable at present; try again later',
+      {
+        notRun: !state.mayHaveRun,
+        retryAfterSeconds: 2,
+      },
+    )
   }
 }
 
-/** Records in the claim what became of its dispatch. */
+/** Records the outcome of a dispatch in its claim. */
 async function settleClaim(
   deps: RelayDependencies,
   dispatch: ClaimedDispatch,
@@ -133,7 +138,7 @@
   return resolveAttemptResult(deps, attempt, result)
 }
 
-/** Follows a dispatch that another request, perhaps of another router, was given. */
+/** Resolves a dispatch that an earlier request with the same key started, maybe on another router. */
 async function joinDispatch(
   deps: RelayDependencies,
   context: CallContext,
@@ -149,7 +154,11 @@
   )
 }
 
-/** Takes in an outcome; returns the answer once there is one, throws what is final. */
+/**
+ * Applies an outcome: returns the response if there is one, and undefined if the request may be
+ * dispatched again.
+ * @throws SpoolgateError if the outcome is unknown or not yet known.
+ */
 async function applyOutcome(
   deps: RelayDependencies,
   state: AtMostOnceState,
@@ -159,13 +168,13 @@
   if (outcome.kind === 'unreachable') {
     throw new SpoolgateError(
       'stillRunning',
-      'the outcome is not known yet; send the same idempotency key again to learn it',
+      'the outcome is not known yet; send the request again with the same idempotency key',
       { retryAfterSeconds: 2 },
     )
   }
   const settled = settleClaim(deps, dispatch, outcome)
   if (outcome.kind === 'answered') {
-    // The caller has waited enough: the sidecar still holds the answer if this router dies now.
+    // Not awaited, to save the caller the delay: if this router crashes now, the sidecar still holds the response.
     deps.trackBackgroundWork(
       settled.catch(() => deps.logger.warn('claim.unsettled', { ...dispatch })),
     )
@@ -212,7 +221,7 @@
   switch (openResult.kind) {
     case 'granted': {
       const { dispatch } = openResult
-      // A grant means that every earlier dispatch of this key was barred.
+      // A grant implies that every earlier dispatch of this key is barred.
       state.mayHaveRun = false
       const outcome = await runDispatch(deps, context, state, fleet, server, dispatch)
       return applyOutcome(deps, state, dispatch, outcome)
@@ -225,20 +234,20 @@
       if (openResult.answer) return parseKeptAnswer(openResult.answer)
       throw new SpoolgateError(
         'conflict',
-        'this request has run; its answer was too large to keep, so ask the service for the result',
+        'this request has run, but its response was too large to store; get the result from the service',
         { notRun: false },
       )
     case 'conflict':
       throw new SpoolgateError(
         'conflict',
-        'this idempotency key was used with another body; choose a new key for a new request',
+        'this idempotency key was used with a different request; use a new key for a new request',
       )
     case 'unknown':
       throw createOutcomeUnknownError()
   }
 }
 
-/** Serves an unrepeatable request to its end. */
+/** Serves an unrepeatable request. */
 export async function relayOnce(
   deps: RelayDependencies,
   context: CallContext,
@@ -249,7 +258,7 @@
     bodyHash: hashBody(context),
     excluded: new Set(),
     retryAfterMs: undefined,
-    // An earlier send of the caller's key may have run; only the claim can tell.
+    // An earlier request with the key of the caller may have run; only the claim shows whether it did.
     mayHaveRun: key.isFromCaller,
     latencyDeclines: 0,
   }
--- a/packages/router/src/relay/relayRepeatable.ts
+++ b/packages/router/src/relay/relayRepeatable.ts
@@ -1,6 +1,6 @@
 /**
- * Serves a request that may be tried again: attempt after attempt, each on another backend server,
- * with the caller seeing one gapless answer.
+ * Serves a request that may be repeated: if an attempt fails, the next one runs on another backend
+ * server, and the caller receives one gapless response.
  */
 import { SpoolgateError, toAttemptNumber } from '@spoolgate/core'
 import type { CallHeader } from '@spoolgate/routing'
@@ -17,7 +17,7 @@
 import type { RelayDependencies } from './relayDependencies.js'
 import { createStreamSink, type StreamSink } from './sinks.js'
 
-/** Choices that may be given up for a better one; the next is then claimed at any length. */
+/** Declines for latency after which the next attempt is sent without a latency bound. */
 const MAX_LATENCY_DECLINES = 2
 
 interface RelayState extends DeclineState {
@@ -26,14 +26,14 @@
   firstTokenMs: number | undefined
 }
 
-/** Text to go on from, when part of the answer was delivered. */
+/** Prepares the sink to continue a partly delivered response; returns the text to continue from. */
 function resumeFromDelivered(state: RelayState): string | undefined {
   if (state.sink.delivered.length === 0) return undefined
   const delivered = parseDeliveredChunks(state.sink.delivered)
   if (!delivered) {
     throw new SpoolgateError(
       'backendFailed',
-      'the backend server failed in the middle of an answer that cannot be continued; ask again',
+      'the backend server failed during a response that cannot be continued; send the request again',
     )
   }
   state.sink.resumeFrom(delivered)
@@ -46,7 +46,7 @@
   return Buffer.from(JSON.stringify({ resumeText, body }))
 }
 
-/** Aborts when the caller leaves, or when no token has come within the bound. */
+/** Creates a signal that aborts when the caller disconnects or no token arrives in time. */
 function createAttemptSignal(deps: RelayDependencies, context: CallContext, timeoutMs: number) {
   const controller = new AbortController()
   const abort = () => controller.abort()
@@ -103,7 +103,7 @@
       onClaim: (claimHints) => {
         const now = deps.timers.now()
         hints.record(claimHints, now)
-        // What is missing is computed now: the next request of this prefix will find it.
+        // The server now computes the missing part too, so the next request with this prefix finds it cached.
         hints.recordCached(context.chain, claimHints, Infinity, now)
         const { instruments, decisions } = deps
         const labels = { team: context.team, policy: decision.policy }
@@ -117,14 +117,16 @@
       },
     })
     const hasTimedOut = result.kind === 'cancelled' && !context.callerSignal.aborted
-    return hasTimedOut ? { kind: 'lost', reason: 'no token in time', notRun: false } : result
+    return hasTimedOut
+      ? { kind: 'lost', reason: 'no token arrived in time', notRun: false }
+      : result
   } finally {
     attemptSignal.close()
     hints.removeCall(server.id)
   }
 }
 
-/** Takes in what an attempt came to; true when the request is served or its caller is gone. */
+/** Applies the result of an attempt; true if the request is served or its caller disconnected. */
 async function applyResult(
   deps: RelayDependencies,
   context: CallContext,
@@ -159,7 +161,7 @@
   }
 }
 
-/** Ends a stream whose text was whole and lacked only its final marker. */
+/** Ends a stream whose text is complete, even if its final marker is missing. */
 function finishCompleteStream(state: RelayState): boolean {
   const { sink } = state
   if (sink.delivered.length === 0) return false
@@ -192,7 +194,7 @@
   }
 }
 
-/** Relays a repeatable request to its end. */
+/** Relays a repeatable request until it is served or no further attempt is allowed. */
 export async function relayRepeatable(
   deps: RelayDependencies,
   context: CallContext,
--- a/packages/router/src/relay/sinks.ts
+++ b/packages/router/src/relay/sinks.ts
@@ -1,19 +1,19 @@
-/** Where answers go: on to a caller as they come, or into memory until they are whole. */
+/** Response sinks: one forwards a response to the caller, the other buffers it in memory. */
 import type { ServerResponse } from 'node:http'
 import { formatErrorBody, type SpoolgateError } from '@spoolgate/core'
 import type { BodyFrame, HeadFrame } from '@spoolgate/routing'
 import type { ResponseSink } from './frameReader.js'
 import { formatContinuedChunk, type DeliveredStream } from './continuation.js'
 
-/** An answer held in memory. */
+/** A complete response in memory. */
 export interface BufferedResponse {
   readonly head: HeadFrame
   readonly body: Buffer
 }
 
-/** Sink that keeps the answer until it is whole. */
+/** Sink that buffers a response in memory. */
 export interface BufferSink extends ResponseSink {
-  /** The whole answer; undefined before a head has arrived. */
+  /** Returns the buffered response; undefined before the head has arrived. */
   findResponse(): BufferedResponse | undefined
 }
 
@@ -25,12 +25,12 @@
     : Buffer.from(body.base64, 'base64')
 }
 
-/** Formats an event as callers read it. */
+/** Formats a server-sent event. */
 function formatEvent(data: string): string {
   return `data: ${data}\n\n`
 }
 
-/** Creates a sink in memory. */
+/** Creates a sink that buffers in memory. */
 export function createBufferSink(): BufferSink {
   const chunks: Buffer[] = []
   let head: HeadFrame | undefined
@@ -45,7 +45,7 @@
   }
 }
 
-/** Sends a whole answer to a caller. */
+/** Sends a complete response to the caller. */
 export function sendBufferedResponse(response: ServerResponse, buffered: BufferedResponse): void {
   response.writeHead(buffered.head.status, {
     'content-type': buffered.head.contentType,
@@ -54,28 +54,28 @@
   response.end(buffered.body)
 }
 
-/** Sink that relays a stream to a caller. */
+/** Sink that relays the response of one or more attempts to the caller. */
 export interface StreamSink extends ResponseSink {
-  /** Payloads that the caller was sent. */
+  /** Event payloads passed on to the caller. */
   readonly delivered: readonly string[]
-  /** True once the caller has seen the head of a stream. */
+  /** Whether the head of a stream has been sent to the caller. */
   hasBegun(): boolean
-  /** Starts the next attempt; from now on parts repeat the identity of what was delivered. */
+  /** Prepares for the next attempt, whose chunks repeat the id of the delivered stream. */
   resumeFrom(delivered: DeliveredStream): void
-  /** Ends the answer after its last part. */
+  /** Ends the response to the caller. */
   finish(): void
-  /** Ends the answer with an explicit error event. */
+  /** Ends the stream with an error event. */
   fail(error: SpoolgateError): void
 }
 
 /** Options of {@link createStreamSink}. */
 export interface StreamSinkOptions {
   readonly response: ServerResponse
-  /** Called when the first part of the answer is passed on. */
+  /** Called when the first part of the response is passed on. */
   readonly onFirstToken: () => void
 }
 
-/** Creates a sink that relays to a caller. Answers that are not streams are kept until whole. */
+/** Creates a sink that relays to the caller. Responses other than streams are buffered until complete. */
 export function createStreamSink(options: StreamSinkOptions): StreamSink {
   const { response, onFirstToken } = options
   const delivered: string[] = []
