--- a/packages/routing/src/__tests__/routingTable.spec.ts
+++ b/packages/routing/src/__tests__/routingTable.spec.ts
@@ -27,12 +27,12 @@
   return { version: 1, routes, groups: [group], stores: [], teams: undefined, bounds, ...change }
 }
 
-describe('the routing table', () => {
-  it('is valid as it stands', () => {
+describe('routing table', () => {
+  it('accepts a valid table', () => {
     expect(listTableProblems(buildTable([buildRoute()]))).to.deep.equal([])
   })
 
-  const invalid: Record<string, readonly RouteRule[]> = {
+  const invalidRoutes: Record<string, readonly RouteRule[]> = {
     'an unknown group': [buildRoute({ targets: [{ group: 'other', weight: 1 }] })],
     'weights that add up to 0': [buildRoute({ targets: [{ group: 'g', weight: 0 }] })],
     'no target': [buildRoute({ targets: [] })],
@@ -45,16 +45,16 @@
       }),
     ],
     'a timeout of 0': [buildRoute({ timeoutMs: 0 })],
-    'a prefix without its slashes': [buildRoute({ pathPrefix: '/x' })],
-    'two routes at one place': [buildRoute(), buildRoute({ name: 'other' })],
+    'a path prefix without a slash at the end': [buildRoute({ pathPrefix: '/x' })],
+    'two routes with the same host and path prefix': [buildRoute(), buildRoute({ name: 'other' })],
   }
-  for (const [what, routes] of Object.entries(invalid)) {
-    it(`is invalid with ${what}`, () => {
+  for (const [description, routes] of Object.entries(invalidRoutes)) {
+    it(`rejects ${description}`, () => {
       expect(listTableProblems(buildTable(routes))).to.have.length.above(0)
     })
   }
 
-  it('is invalid when two teams share a key, and the message does not show the key', () => {
+  it('rejects a key shared by two teams without showing the key in the message', () => {
     const teams = ['a', 'b'].map((id) => ({
       id: toTeamId(id),
       keys: ['secret'],
@@ -66,7 +66,7 @@
     expect(problems[0]).to.not.include('secret')
   })
 
-  it('finds the longest prefix that begins a path, on the right host only', () => {
+  it('matches the route with the longest path prefix, for its own host only', () => {
     const index = buildTableIndex(
       buildTable([buildRoute(), buildRoute({ name: 'long', pathPrefix: '/x/y/' })]),
     )
@@ -76,7 +76,7 @@
     expect(index.findRoute('a.example', '/z')).to.equal(undefined)
   })
 
-  it('splits by weight and never chooses a target of weight 0', () => {
+  it('splits requests by weight and never chooses a target of weight 0', () => {
     const route = buildRoute({
       targets: [
         { group: 'none', weight: 0 },
@@ -86,7 +86,7 @@
     })
     const random = createRandomSource(7)
     const counts = new Map<string, number>()
-    for (let turn = 0; turn < 2_000; turn += 1) {
+    for (let draw = 0; draw < 2_000; draw += 1) {
       const group = chooseTarget(route, random)
       counts.set(group, (counts.get(group) ?? 0) + 1)
     }
--- a/packages/routing/src/policies/baselines.ts
+++ b/packages/routing/src/policies/baselines.ts
@@ -1,4 +1,4 @@
-/** Policies to compare against: they use less than what is known, on purpose. */
+/** Baseline policies for comparison: each ignores part of the available information on purpose. */
 import type { BackendServer } from '@spoolgate/config'
 import type { Policy, PolicyInput, RankedCandidate } from './policy.js'
 
@@ -6,23 +6,23 @@
   return input.servers.filter(input.isAllowed)
 }
 
-/** Goes round the backend servers. */
+/** Cycles through the backend servers in turn. */
 export const roundRobin: Policy = {
   probes: 0,
   rank: (input) => {
-    const allowed = listAllowed(input)
+    const allowedServers = listAllowed(input)
     const target = input.servers[0]?.serves ?? ''
     const turn = input.state.nextTurns.get(target) ?? 0
     input.state.nextTurns.set(target, turn + 1)
-    return allowed.map((_, offset) => ({
-      server: allowed[(turn + offset) % allowed.length],
+    return allowedServers.map((_, offset) => ({
+      server: allowedServers[(turn + offset) % allowedServers.length],
       score: offset,
       reason: 'turn',
     }))
   },
 }
 
-/** Takes the backend server with the fewest calls, as far as hints show. */
+/** Prefers the backend server with the fewest calls, according to hints and own calls in progress. */
 export const leastLoaded: Policy = {
   probes: 0,
   rank: (input) => {
@@ -36,7 +36,7 @@
   },
 }
 
-/** Hashes the whole prompt up to its last level but one; ignores load. */
+/** Hashes the prompt up to its second-to-last level; ignores load. */
 export const prefixAffinity: Policy = {
   probes: 0,
   rank: (input) => {
--- a/packages/routing/src/policies/expectedFirstToken.ts
+++ b/packages/routing/src/policies/expectedFirstToken.ts
@@ -1,27 +1,27 @@
 /**
- * The default policy: for each backend server it estimates the time to the first token, and weighs
- * it against the prompt tokens that would be computed again. The outer levels of the prompt choose
- * a subset of the servers, the inner level chooses inside it.
+ * The default policy: for each backend server it estimates the time to the first token and weighs
+ * it against the cost of recomputing prompt tokens that are not cached there. The outer levels of
+ * the prompt select a subset of the servers, the inner level a home server within it.
  */
 import type { BackendServer } from '@spoolgate/config'
 import type { PrefixLevel } from '../prefixChain.js'
 import type { Policy, PolicyInput, RankedCandidate } from './policy.js'
 
-/** Level, from 1, up to which a prompt counts as outer: instructions, then chart or stock. */
+/** Last of the outer levels of a prompt, counted from 1: instructions, then chart or stock. */
 const OUTER_LEVEL = 2
-/** Level, from 1, of the trader or household. */
+/** Inner level of a prompt, counted from 1: trader or household. */
 const INNER_LEVEL = 3
-/** Assumed speed of a server without hints, in prompt tokens a millisecond. */
+/** Assumed prefill rate of a server without hints, in prompt tokens per millisecond. */
 const DEFAULT_PREFILL_RATE = 10
-/** Chance that a server of the subset holds the outer levels though this router has not seen it. */
+/** Assumed probability that a server of the subset caches the outer levels when no hints show it. */
 const OUTER_CACHED_PROBABILITY = 0.7
-/** The same for the inner level at its home server. */
+/** The same probability for the inner level on its home server. */
 const INNER_CACHED_PROBABILITY = 0.4
-/** Part of the cost of storing the outer levels once more that a choice outside the subset pays. */
+/** Share of the cost of another copy of the outer levels that is charged outside the subset. */
 const REPLICATION_COST_FACTOR = 1
-/** Calls over the bound are dearer by this for each, in ms, so that order among them stays. */
+/** Penalty for each call over the limit, in ms; per call, so that overloaded servers stay ordered by load. */
 const OVERLOAD_PENALTY_MS = 100_000
-/** Most servers that are scored for one decision, random ones apart. */
+/** Most servers that are scored for one decision, not counting random ones. */
 const MAX_SCORED_SERVERS = 24
 const RANDOM_CANDIDATES = 6
 
@@ -32,21 +32,21 @@
   readonly home: BackendServer | undefined
 }
 
-/** Takes the first `count` allowed servers of a ranking, without walking the rest. */
+/** Takes the first `count` allowed servers of a ranking, without checking the rest. */
 function takeAllowed(
   ranked: readonly BackendServer[],
   count: number,
   input: PolicyInput,
 ): BackendServer[] {
-  const taken: BackendServer[] = []
+  const allowedServers: BackendServer[] = []
   for (const server of ranked) {
-    if (taken.length >= count) break
-    if (input.isAllowed(server)) taken.push(server)
+    if (allowedServers.length >= count) break
+    if (input.isAllowed(server)) allowedServers.push(server)
   }
-  return taken
+  return allowedServers
 }
 
-/** Places a prompt: its subset by the outer levels, its home inside by the inner one. */
+/** Finds the subset of servers for the outer levels of a prompt, and the home server within it. */
 function findPlacement(input: PolicyInput): Placement {
   const { levels } = input.chain
   const { rendezvous, subsetWidths: widths } = input.state
@@ -60,18 +60,17 @@
 }
 
 /**
- * Lists the servers worth scoring. A small fleet is scored whole; in a large one, those of the
- * subset, those known to hold a part of the prompt, and a few drawn at random, which is where load
- * finds its way to idle servers.
+ * Lists the servers to score: in a small fleet all of them; in a large one those of the subset,
+ * those known to cache part of the prompt, and a few random ones, so that load reaches idle servers.
  */
 function listCandidates(input: PolicyInput, placement: Placement): BackendServer[] {
   const { servers, random, state } = input
   if (servers.length <= MAX_SCORED_SERVERS) return servers.filter(input.isAllowed)
-  const holders = state.hints.listHolders(input.chain)
+  const cachingServers = state.hints.listHolders(input.chain)
   const candidates = new Set(placement.subset)
   for (const server of servers) {
     if (candidates.size >= MAX_SCORED_SERVERS) break
-    if (holders.has(server.id) && input.isAllowed(server)) candidates.add(server)
+    if (cachingServers.has(server.id) && input.isAllowed(server)) candidates.add(server)
   }
   for (let draw = 0; draw < RANDOM_CANDIDATES; draw += 1) {
     const server = servers[random.nextInt(servers.length)]
@@ -80,7 +79,10 @@
   return candidates.size > 0 ? [...candidates] : servers.filter(input.isAllowed)
 }
 
-/** Expected wait at a server: what it last said, less the time since, plus what was sent there. */
+/**
+ * Estimates the queueing time at a server: the time it last reported, minus the time since then,
+ * plus the prefill time of the tokens sent there since.
+ */
 function estimateQueueMs(input: PolicyInput, server: BackendServer, rate: number): number {
   const view = input.state.hints.find(server.id)
   if (!view) return 0
@@ -88,7 +90,7 @@
   return Math.max(0, view.hints.queueMs - elapsed) + view.sentTokens / rate
 }
 
-/** Tokens that a server is presumed to hold of a prompt that this router has not seen there. */
+/** Estimates how many tokens of a prompt a server caches when no hints show it. */
 function estimateMatchedTokens(server: BackendServer, placement: Placement): number {
   if (!placement.subset.has(server)) return 0
   const outerTokens = (placement.outer?.tokens ?? 0) * OUTER_CACHED_PROBABILITY
@@ -142,10 +144,10 @@
   input.state.subsetWidths.record(placement.outer.hash, shortest.queueMs, replicationMs, input.now)
 }
 
-/** Candidates that are asked before a choice, or when it would rest on a guess. */
+/** Candidates to probe: always with `probeFirst`, otherwise when the best match is an estimate. */
 const PROBED_CANDIDATES = 3
 
-/** Estimates the first token everywhere and takes the cheapest. */
+/** Estimates the time to the first token for each candidate and prefers the lowest score. */
 export const expectedFirstToken: Policy = {
   probes: 0,
   probesWhenUncertain: PROBED_CANDIDATES,
@@ -159,7 +161,7 @@
   },
 }
 
-/** Asks the likeliest few for their queue and matched prefix before it chooses among them. */
+/** Probes the best few candidates for their queue and matched prefix before it chooses one. */
 export const probeFirst: Policy = {
   probes: PROBED_CANDIDATES,
   rank: expectedFirstToken.rank,
--- a/packages/routing/src/policies/index.ts
+++ b/packages/routing/src/policies/index.ts
@@ -1,10 +1,10 @@
-/** Routing policies by the name that the configuration uses. */
+/** Routing policies by their name in the configuration. */
 import type { PolicyName } from '@spoolgate/config'
 import { leastLoaded, prefixAffinity, roundRobin } from './baselines.js'
 import { expectedFirstToken, probeFirst } from './expectedFirstToken.js'
 import type { Policy } from './policy.js'
 
-/** The lookup table of policies; another one is one more entry. */
+/** All policies; a new policy is added here. */
 export const POLICIES: Readonly<Record<PolicyName, Policy>> = {
   roundRobin,
   leastLoaded,
--- a/packages/routing/src/policies/policy.ts
+++ b/packages/routing/src/policies/policy.ts
@@ -1,4 +1,4 @@
-/** What every routing policy takes and gives. */
+/** Interface of routing policies. */
 import type { BackendServer, TeamParameters } from '@spoolgate/config'
 import type { BackendServerId, RandomSource } from '@spoolgate/core'
 import type { HintTable } from '../hints.js'
@@ -6,28 +6,28 @@
 import type { Rendezvous } from '../rendezvous.js'
 import type { SubsetWidths } from '../subsetWidths.js'
 
-/** Memory that policies of one router share. */
+/** State that the policies of one router share. */
 export interface PolicyState {
   readonly hints: HintTable
   readonly rendezvous: Rendezvous
   readonly subsetWidths: SubsetWidths
-  /** Next turn by model or group, for policies that go round. */
+  /** Next position by model or group, for round-robin policies. */
   readonly nextTurns: Map<string, number>
 }
 
-/** One decision to make. */
+/** Input of one routing decision. */
 export interface PolicyInput {
   readonly chain: PrefixChain
-  /** All backend servers of the model or group; the same object while it is unchanged. */
+  /** All backend servers of the model or group; the same array object while they are unchanged. */
   readonly servers: readonly BackendServer[]
-  /** Whether a server may be chosen at all. */
+  /** Whether a server may be chosen. */
   readonly isAllowed: (server: BackendServer) => boolean
-  /** Time that the distance to a server adds, in ms. */
+  /** Network delay to a server, in ms. */
   readonly networkDelayMs: (server: BackendServer) => number
-  /** Penalty for a server that has just come back, in ms. */
+  /** Penalty for a server that has recently become available again, in ms. */
   readonly slowStartPenaltyMs: (server: BackendServerId) => number
   readonly parameters: TeamParameters
-  /** Load over the mean at which a candidate is passed over. */
+  /** Multiple of the mean load above which a candidate is penalized. */
   readonly boundedLoadFactor: number
   readonly state: PolicyState
   readonly random: RandomSource
@@ -35,24 +35,24 @@
   readonly now: number
 }
 
-/** A candidate in the order of preference. */
+/** A candidate of a ranking. */
 export interface RankedCandidate {
   readonly server: BackendServer
-  /** Lower is better; its unit is the policy's own. */
+  /** Lower is better; the unit depends on the policy. */
   readonly score: number
-  /** Why it stands where it does, for the log. */
+  /** Reason for the score, for the decision log. */
   readonly reason: string
-  /** Estimated time to the first token, in ms; undefined where the policy makes none. */
+  /** Estimated time to the first token, in ms; undefined if the policy does not estimate it. */
   readonly firstTokenMs?: number
-  /** Whether what is cached there is only presumed. @default false */
+  /** Whether the number of cached tokens is estimated without hints. @default false */
   readonly isMatchEstimated?: boolean
 }
 
 /** A routing policy. */
 export interface Policy {
-  /** Candidates that are asked before the choice; 0 sends the request at once. */
+  /** Candidates to probe before each choice; 0 for none. */
   readonly probes: number
-  /** Candidates that are asked when the best one rests on a guess, in a small fleet. @default 0 */
+  /** Candidates to probe in a small fleet if the match of the best one is estimated. @default 0 */
   readonly probesWhenUncertain?: number
   /** Ranks the allowed servers, best first. */
   rank(input: PolicyInput): RankedCandidate[]
--- a/packages/routing/src/table/routingTable.ts
+++ b/packages/routing/src/table/routingTable.ts
@@ -1,41 +1,41 @@
 /**
- * The routing table: which requests go to which group of backend servers, under which bounds, and
- * which keys belong to which team. Operators replace it whole; each version is immutable.
+ * The routing table: which requests go to which group of backend servers, under which limits, and
+ * which keys belong to which team. Operators replace the table as a whole; versions are immutable.
  */
 import type { TeamId } from '@spoolgate/core'
 
-/** What may be done with a request whose outcome is not known. */
+/** Whether a request whose outcome is unknown may be repeated. */
 export type Repeatability =
   /** It may run any number of times. */
   | 'repeatable'
-  /** It may run once at most. */
+  /** It may run at most once. */
   | 'once'
-  /** A broken stream may be continued after its last whole event. */
+  /** A broken stream may be continued after its last complete event. */
   | 'resumable'
 
-/** A group that takes a part of a route's requests. */
+/** A group that receives a share of the requests of a route. */
 export interface RouteTarget {
   readonly group: string
-  /** Part of the requests, relative to the other targets. */
+  /** Share of the requests, relative to the other targets. */
   readonly weight: number
 }
 
-/** Where the requests under one host and path prefix go. */
+/** Routing rule for the requests with one host and path prefix. */
 export interface RouteRule {
   readonly name: string
   readonly host: string
   /** Begins and ends with a slash. */
   readonly pathPrefix: string
   readonly repeatability: Repeatability
-  /** Whether the answer is a stream of events. */
+  /** Whether the response is an event stream. */
   readonly isStream: boolean
-  /** Longest time a request may be held, in ms. */
+  /** Longest time that a request may take, in ms. */
   readonly timeoutMs: number
-  /** Time to the answer, or to its first event, that operators aim at, in ms. */
+  /** Target time to the response, or to its first event, in ms. */
   readonly targetMs: number
-  /** Longest pause between two events of a stream that operators aim at, in ms. */
+  /** Target for the longest gap between two events of a stream, in ms. */
   readonly targetPauseMs: number | undefined
-  /** Rank among requests; 0 is the most urgent. */
+  /** Priority of the requests; 0 is the highest. */
   readonly priority: number
   /** Most backend servers that one request may be sent to. */
   readonly maxServers: number
@@ -44,51 +44,51 @@
   readonly targets: readonly RouteTarget[]
 }
 
-/** Memory and limits of the model engines of a group. */
+/** Capacity of the model engines of a group. */
 export interface EngineCapacity {
-  /** Requests that one engine works on at a time. */
+  /** Requests that one engine processes concurrently. */
   readonly slots: number
-  /** Tokens that fit into an engine's KV cache. */
+  /** Capacity of the KV cache of an engine, in tokens. */
   readonly cacheTokens: number
-  /** Bytes of KV cache for one token. */
+  /** Size of one token in the KV cache, in bytes. */
   readonly tokenBytes: number
-  /** Bandwidth of an engine for KV cache that moves, in Mbit/s. */
+  /** Bandwidth of an engine for KV cache transfers, in Mbit/s. */
   readonly linkMbps: number
   readonly models: readonly string[]
 }
 
-/** Backend servers that serve the same requests. */
+/** A group of backend servers that serve the same requests. */
 export interface ServerGroup {
   readonly name: string
   readonly healthPath: string
-  /** Connections that one backend server accepts from all instances together. */
+  /** Connections that one backend server accepts from all instances in total. */
   readonly maxConnections: number
   /** Undefined for a plain service. */
   readonly engine: EngineCapacity | undefined
 }
 
-/** A store of KV cache that engines can fetch from and save to. */
+/** A KV cache store that engines can fetch from and save to. */
 export interface CacheStore {
   readonly name: string
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string
   readonly hall: string
   readonly cacheTokens: number
-  /** Bandwidth for KV cache that moves, in Mbit/s. */
+  /** Bandwidth for KV cache transfers, in Mbit/s. */
   readonly linkMbps: number
 }
 
-/** What a quota counts. */
+/** Unit that a quota counts. */
 export type QuotaUnit = 'requests' | 'tokens'
 
-/** What a team may have run by all routers together. */
+/** Quota of a team across all routers. */
 export interface TeamQuota {
   readonly unit: QuotaUnit
-  /** Units a second. */
+  /** Units per second. */
   readonly perSecond: number
-  /** Units beyond the rate that may be used at once. */
+  /** Units that may be used at once in excess of the rate. */
   readonly burst: number
-  /** Tokens of a request that does not name its own. */
+  /** Tokens charged for a request that does not state a number. */
   readonly uncountedTokens: number
 }
 
@@ -96,7 +96,7 @@
 export interface TeamEntry {
   readonly id: TeamId
   readonly keys: readonly string[]
-  /** Replaces the priority of the route where it is set. */
+  /** Overrides the priority of the route if set. */
   readonly priority: number | undefined
   /** Whether the team shares no cached prompt parts with other teams. */
   readonly isIsolated: boolean
@@ -104,23 +104,23 @@
   readonly quota?: TeamQuota
 }
 
-/** Bounds on what callers may send. */
+/** Limits on requests and connections of callers. */
 export interface CallerBounds {
   readonly maxHeaderBytes: number
   readonly maxBodyBytes: number
-  /** Longest time to deliver the header, in ms. */
+  /** Longest time to receive the header, in ms. */
   readonly headerTimeoutMs: number
   /** Time after which an idle connection is closed, in ms. */
   readonly idleTimeoutMs: number
 }
 
-/** One version of the table. */
+/** One version of the routing table. */
 export interface RoutingTable {
   readonly version: number
   readonly routes: readonly RouteRule[]
   readonly groups: readonly ServerGroup[]
   readonly stores: readonly CacheStore[]
-  /** Undefined where requests need no key. */
+  /** Undefined if requests need no key. */
   readonly teams: readonly TeamEntry[] | undefined
   readonly bounds: CallerBounds
 }
@@ -153,15 +153,15 @@
   return problems
 }
 
-/** Lists what makes a table invalid; empty for a valid one. */
+/** Lists the problems that make a table invalid; empty if the table is valid. */
 export function listTableProblems(table: RoutingTable): string[] {
   const groups = new Set(table.groups.map(({ name }) => name))
   const routeKeys = table.routes.map(({ host, pathPrefix }) => `${host}${pathPrefix}`)
   const keys = (table.teams ?? []).flatMap((team) => [...new Set(team.keys)])
   return [
     ...table.routes.flatMap((route) => listRouteProblems(route, groups)),
-    ...listDuplicates(routeKeys).map((place) => `two routes for ${place}; remove one`),
-    // Keys are secrets, so the message names none.
+    ...listDuplicates(routeKeys).map((routeKey) => `two routes for ${routeKey}; remove one`),
+    // Keys are secrets, so the message does not contain them.
     ...listDuplicates(keys).map(() => 'two teams hold the same key; give each its own'),
     ...listDuplicates(table.groups.map(({ name }) => name)).map(
       (name) => `group ${name} is defined twice; remove one`,
--- a/packages/routing/src/table/tableIndex.ts
+++ b/packages/routing/src/table/tableIndex.ts
@@ -1,18 +1,18 @@
-/** Look-ups in one version of the routing table. */
+/** Lookups in one version of the routing table. */
 import type { RandomSource } from '@spoolgate/core'
 import type { RouteRule, RoutingTable, ServerGroup, TeamEntry } from './routingTable.js'
 
-/** An index over a table; built once for each version. */
+/** An index of a routing table; built once per version. */
 export interface TableIndex {
   readonly table: RoutingTable
-  /** Finds the route with the longest prefix that begins `path`. */
+  /** Finds the route of the host with the longest prefix that matches `path`. */
   findRoute(host: string, path: string): RouteRule | undefined
-  /** Finds the team that holds a key. */
+  /** Finds the team that a key belongs to. */
   findTeam(key: string): TeamEntry | undefined
   findGroup(name: string): ServerGroup | undefined
 }
 
-/** Removes the port of a host header and folds its case. */
+/** Removes the port from a host header and converts it to lower case. */
 function toHostName(host: string): string {
   return host.replace(/:\d+$/, '').toLowerCase()
 }
@@ -42,7 +42,7 @@
   }
 }
 
-/** Chooses one of a route's groups by weight. */
+/** Chooses one of a route's groups at random, by weight. */
 export function chooseTarget(route: RouteRule, random: RandomSource): string {
   const totalWeight = route.targets.reduce((sum, { weight }) => sum + weight, 0)
   let remaining = random.next() * totalWeight
