--- a/packages/control/src/group/bearingReport.ts
+++ b/packages/control/src/group/bearingReport.ts
@@ -1,6 +1,6 @@
 /** Tells the operator where the control group bears fewer losses than it was set up for. */
 import type { Logger, TimerService } from '@spoolgate/core'
-import { listVoters } from '../raft/group.js'
+import { listVoters } from '../raft/quorum.js'
 import type { MemberMap } from '../raft/messages.js'
 
 /** Losses that a group bears. */
--- a/packages/control/src/raft/member.ts
+++ b/packages/control/src/raft/member.ts
@@ -8,7 +8,7 @@
 import type { VoteState, LeaseHolder, LogEntry } from '../log/logStore.js'
 import { createAppliedLog } from './appliedLog.js'
 import { createElectionReport } from './electionReport.js'
-import { countChangedMembers, countMajority } from './group.js'
+import { countChangedMembers, countMajority } from './quorum.js'
 import type {
   AppendReply,
   AppendRequest,
--- a/packages/control/src/raft/membership.ts
+++ b/packages/control/src/raft/membership.ts
@@ -1,6 +1,6 @@
 /** Membership of the control group according to a member's log and snapshot. */
 import type { LogEntry, LogStore } from '../log/logStore.js'
-import { listVoters } from './group.js'
+import { listVoters } from './quorum.js'
 import type { MemberMap } from './messages.js'
 
 /** Log commands of the group itself, not of the state machine. */
--- a/packages/control/src/raft/replicator.ts
+++ b/packages/control/src/raft/replicator.ts
@@ -5,7 +5,7 @@
 import { type TimerService, waitFor } from '@spoolgate/core'
 import type { Subscription } from 'rxjs'
 import type { LogEntry, LogStore } from '../log/logStore.js'
-import { findMajorityValue, listOthers } from './group.js'
+import { findMajorityValue, listOthers } from './quorum.js'
 import type { MemberInfo, MemberMap, RaftTransport } from './messages.js'
 import type { FollowerProgress } from './types.js'
 
--- a/packages/control/src/raft/votes.ts
+++ b/packages/control/src/raft/votes.ts
@@ -1,7 +1,7 @@
 /** Vote rounds: requests votes or pre-votes from all members and counts the replies. */
 import { toSpoolgateError } from '@spoolgate/core'
 import type { LeaseHolder } from '../log/logStore.js'
-import { countElectionQuorum, countMajority, listOthers, listVoters } from './group.js'
+import { countElectionQuorum, countMajority, listOthers, listVoters } from './quorum.js'
 import type { EndedTerms, MemberMap, RaftTransport, VoteReply, VoteRequest } from './messages.js'
 
 /** Options of {@link runVoteRound}. */
