--- a/packages/control/src/__tests__/cacheWatch.spec.ts
+++ b/packages/control/src/__tests__/cacheWatch.spec.ts
@@ -4,7 +4,7 @@
   toServerName,
   type TimerService,
 } from '@spoolgate/core'
-import { formatCacheScope, formatStoreId, hashPart } from '@spoolgate/routing'
+import { formatCacheScope, formatStoreId, hashPromptPart } from '@spoolgate/routing'
 import { expect } from 'chai'
 import { NEVER, type Observable } from 'rxjs'
 import {
@@ -36,7 +36,7 @@
       createEntry(V1, 'b', 30),
       createEntry(V1, 'a', 0),
     ])
-    const [a, b] = [hashPart(V1, 'a'), hashPart(V1, 'b')]
+    const [a, b] = [hashPromptPart(V1, 'a'), hashPromptPart(V1, 'b')]
     expect(reported).to.deep.equal([['e1', 1, a, 0, b, 30]])
     expect(directory.list()).to.deep.equal([['e1', 1, b, 30]])
   })
@@ -60,8 +60,8 @@
     const reported = directory.replace(STORE, [createEntry(V1, 'b', 30)])
     const name = formatStoreId('s:1', 7, 1)
     expect(reported).to.deep.equal([
-      [name, 1, hashPart(V1, 'a'), 0],
-      [name, 1, hashPart(V1, 'b'), 30],
+      [name, 1, hashPromptPart(V1, 'a'), 0],
+      [name, 1, hashPromptPart(V1, 'b'), 30],
     ])
   })
 
@@ -176,8 +176,8 @@
     expect(lists).to.equal(1)
     expect(asked.slice(0, 3)).to.deep.equal([5, 10, 20])
     expect(reported).to.deep.equal([
-      ['e1', 1, hashPart(V1, 'b'), 30],
-      ['e1', 1, hashPart(V1, 'a'), 60],
+      ['e1', 1, hashPromptPart(V1, 'b'), 30],
+      ['e1', 1, hashPromptPart(V1, 'a'), 60],
     ])
   })
 
@@ -188,9 +188,9 @@
     )
     expect(asked.slice(0, 2)).to.deep.equal([5, 5])
     expect(reported).to.deep.equal([
-      ['e1', 1, hashPart(V1, 'a'), 60],
-      ['e1', 1, hashPart(V1, 'a'), 0],
-      ['e1', 1, hashPart(V1, 'b'), 30],
+      ['e1', 1, hashPromptPart(V1, 'a'), 60],
+      ['e1', 1, hashPromptPart(V1, 'a'), 0],
+      ['e1', 1, hashPromptPart(V1, 'b'), 30],
     ])
   })
 
@@ -285,7 +285,7 @@
       engine.release()
       await settle()
       expect(engine.isReported()).to.equal(true)
-      expect(engine.reported).to.deep.equal([['e1', 1, hashPart(V1, 'a'), 9]])
+      expect(engine.reported).to.deep.equal([['e1', 1, hashPromptPart(V1, 'a'), 9]])
       await engine.finish()
     })
 
--- a/packages/control/src/registry/cacheDirectory.ts
+++ b/packages/control/src/registry/cacheDirectory.ts
@@ -2,7 +2,7 @@
  * Directory of the prompt parts cached by each engine and store, built by the leader from their cache events. Routers
  * receive it as placements, in which parts with 0 tokens were evicted.
  */
-import { formatStoreId, hashPart, parseScopeVersion } from '@spoolgate/routing'
+import { formatStoreId, hashPromptPart, parseScopeVersion } from '@spoolgate/routing'
 import type { CacheListCursor, Placement } from './feed.js'
 
 /** A cached part of a prompt in an engine or store. */
@@ -96,7 +96,7 @@
     for (const { scope, id, tokens } of changes) {
       const version = parseScopeVersion(scope)
       if (version === undefined || isOutdated(location, version)) continue
-      const hash = hashPart(scope, id)
+      const hash = hashPromptPart(scope, id)
       const parts = openParts(location, version).tokens
       if (tokens > 0) parts.set(hash, tokens)
       else parts.delete(hash)
@@ -130,7 +130,7 @@
   return {
     apply,
     replace: (location, parts) => {
-      const listed = new Set(parts.map(({ scope, id }) => hashPart(scope, id)))
+      const listed = new Set(parts.map(({ scope, id }) => hashPromptPart(scope, id)))
       const gone: Placement[] = []
       for (const { location: name, version, tokens } of openVersions(location).values()) {
         const missing = [...tokens.keys()].filter((hash) => !listed.has(hash))
--- a/packages/router/src/__tests__/directComponents.spec.ts
+++ b/packages/router/src/__tests__/directComponents.spec.ts
@@ -1,5 +1,5 @@
 import { createManualTimerService, toBackendServerId } from '@spoolgate/core'
-import { hashPart } from '@spoolgate/routing'
+import { hashPromptPart } from '@spoolgate/routing'
 import { expect } from 'chai'
 import fc from 'fast-check'
 import { createSseEventBuffer } from '../direct/sseEventBuffer.js'
@@ -114,7 +114,7 @@
     const memory = createMemory()
     memory.recordPlacement(buildPlacement(S1, 1, 'shared', PARTS))
     expect(memory.countCachedTokens(S1, 1, 'shared', PARTS)).to.equal(170)
-    memory.confirmPlacement([S1, 1, hashPart('shared', 'inner'), 16])
+    memory.confirmPlacement([S1, 1, hashPromptPart('shared', 'inner'), 16])
     memory.recordPlacement(buildPlacement(S1, 1, 'shared', PARTS))
     expect(memory.countCachedTokens(S1, 1, 'shared', PARTS)).to.equal(116)
   })
--- a/packages/router/src/decide/serverSelector.ts
+++ b/packages/router/src/decide/serverSelector.ts
@@ -17,7 +17,7 @@
   createHintTable,
   hashText,
   POLICIES,
-  type Ejection,
+  type OutlierEjection,
   type HintTable,
   type PolicyState,
   type PrefixChain,
@@ -31,7 +31,7 @@
   readonly hall: string
   readonly region: string
   readonly state: PolicyState
-  readonly ejection: Ejection
+  readonly ejection: OutlierEjection
   readonly client: HttpClient
   readonly timers: TimerService
   readonly random: RandomSource
@@ -152,7 +152,7 @@
       servers,
       isAllowed: createFilter(request, servers),
       distanceMs: findDistanceMs,
-      slowStartMs: (server) => ejection.findSlowStartMs(server, timers.now()),
+      slowStartMs: (server) => ejection.findSlowStartPenaltyMs(server, timers.now()),
       parameters: request.parameters,
       boundedLoadFactor: request.fleet.routing.boundedLoadFactor,
       state: policyState,
@@ -163,7 +163,7 @@
   const recordHints = (table: HintTable, chain: PrefixChain, hints: ReplyHints) => {
     const now = timers.now()
     table.record(hints, now)
-    table.recordCached(chain, hints, hints.matchedTokens, now)
+    table.recordCachedPrefix(chain, hints, hints.matchedTokens, now)
   }
   const probe = async (candidate: RankedCandidate, chain: PrefixChain) => {
     const { id, sidecarUrl } = candidate.server
--- a/packages/router/src/direct/prefixCacheIndex.ts
+++ b/packages/router/src/direct/prefixCacheIndex.ts
@@ -4,7 +4,7 @@
  */
 import type { CachedPlacement, Placement } from '@spoolgate/control'
 import { toBackendServerId, type BackendServerId } from '@spoolgate/core'
-import { hashPart } from '@spoolgate/routing'
+import { hashPromptPart } from '@spoolgate/routing'
 import { LRUCache } from 'lru-cache'
 import type { PromptPart } from './protocols.js'
 
@@ -52,7 +52,11 @@
   scope: string,
   parts: readonly PromptPart[],
 ): Placement {
-  return [server, version, ...parts.flatMap(({ id, tokens }) => [hashPart(scope, id), tokens])]
+  return [
+    server,
+    version,
+    ...parts.flatMap(({ id, tokens }) => [hashPromptPart(scope, id), tokens]),
+  ]
 }
 
 /** Options of {@link createPrefixCacheIndex}. */
@@ -99,7 +103,7 @@
       if (cache?.version !== version) return 0
       let matched = 0
       for (const { id, tokens } of parts) {
-        const cached = cache.parts.get(hashPart(scope, id))
+        const cached = cache.parts.get(hashPromptPart(scope, id))
         if (!cached) break
         matched += Math.min(tokens, cached.tokens)
         if (cached.tokens + CACHE_BLOCK_TOKENS <= tokens) break
--- a/packages/router/src/limits/serverLimits.ts
+++ b/packages/router/src/limits/serverLimits.ts
@@ -4,7 +4,7 @@
  */
 import type { AssignedLimit, LimitReport, LimitsUpdate, ObservedLimits } from '@spoolgate/control'
 import type { BackendServerId } from '@spoolgate/core'
-import { CARRY_OVER_MS } from '@spoolgate/routing'
+import { CARRY_OVER_MAX_AGE_MS } from '@spoolgate/routing'
 import { LRUCache } from 'lru-cache'
 
 /** Whether a limit permits a request now. */
@@ -187,7 +187,7 @@
     },
     carryOver: (before, after, now) => {
       const state = states.get(before)
-      if (!state || now - state.at > CARRY_OVER_MS || states.has(after)) return
+      if (!state || now - state.at > CARRY_OVER_MAX_AGE_MS || states.has(after)) return
       states.set(after, { ...state, acknowledged: undefined, part: 0, tokens: 0 })
     },
     isLimited: (server) => states.get(server)?.perSecond !== undefined,
--- a/packages/router/src/relay/declines.ts
+++ b/packages/router/src/relay/declines.ts
@@ -32,7 +32,7 @@
   const { decline, hints } = result
   const now = parts.timers.now()
   parts.state.hints.record(hints, now)
-  parts.state.hints.recordCached(context.chain, hints, hints.matchedTokens, now)
+  parts.state.hints.recordCachedPrefix(context.chain, hints, hints.matchedTokens, now)
   parts.instruments.declines.add(1, { reason: decline.declined })
   parts.decisions.recordAttempt(context.request, {
     server: server.id,
--- a/packages/router/src/relay/relayParts.ts
+++ b/packages/router/src/relay/relayParts.ts
@@ -1,7 +1,7 @@
 /** Parts of a router that serving any request needs. */
 import type { ConfigFollower, ControlClient } from '@spoolgate/control'
 import type { Counter, Histogram } from '@spoolgate/core'
-import type { Ejection, PolicyState, RetryBudget } from '@spoolgate/routing'
+import type { OutlierEjection, PolicyState, RetryBudget } from '@spoolgate/routing'
 import type { ServerSelector } from '../decide/serverSelector.js'
 import type { DecisionLog } from '../decide/decisionLog.js'
 import type { TeamLimits } from '../limits/teamLimits.js'
@@ -25,7 +25,7 @@
   readonly serverSelector: ServerSelector
   readonly decisions: DecisionLog
   readonly state: PolicyState
-  readonly ejection: Ejection
+  readonly ejection: OutlierEjection
   readonly budget: RetryBudget
   readonly limits: TeamLimits
   readonly instruments: RouterInstruments
--- a/packages/router/src/relay/relayRepeatable.ts
+++ b/packages/router/src/relay/relayRepeatable.ts
@@ -99,7 +99,7 @@
         const now = parts.timers.now()
         hints.record(found, now)
         // What is missing is computed now: the next request of this prefix will find it.
-        hints.recordCached(context.chain, found, Infinity, now)
+        hints.recordCachedPrefix(context.chain, found, Infinity, now)
         const { instruments, decisions } = parts
         const arm = { team: context.team, policy: decision.policy }
         instruments.promptTokens.add(context.chain.totalTokens, arm)
@@ -175,7 +175,7 @@
 }
 
 async function relayAttempts(parts: RelayParts, context: CallContext, state: RelayState) {
-  parts.budget.addFirstTry()
+  parts.budget.recordFirstAttempt()
   for (;;) {
     const fleet = parts.config.current()
     if (!fleet) throw new SpoolgateError('controlUnavailable', 'no configuration yet; try later')
--- a/packages/router/src/server/routerServer.ts
+++ b/packages/router/src/server/routerServer.ts
@@ -20,9 +20,9 @@
 } from '@spoolgate/core'
 import { createConfigFollower, createControlClient, type ConfigFollower } from '@spoolgate/control'
 import {
-  createEjection,
+  createOutlierEjection,
   createHintTable,
-  createRendezvous,
+  createRendezvousHash,
   createRetryBudget,
   createSubsetWidths,
   type PolicyState,
@@ -104,7 +104,7 @@
 function createPolicyState(): PolicyState {
   return {
     hints: createHintTable(),
-    rendezvous: createRendezvous(),
+    rendezvous: createRendezvousHash(),
     widths: createSubsetWidths(),
     turns: new Map(),
   }
@@ -135,8 +135,8 @@
   const config = createConfigFollower(follower)
   const state = createPolicyState()
   const findRouting = () => config.current()?.routing
-  const ejection = createEjection({
-    findMaxRatio: () => findRouting()?.maxEjectedRatio ?? DEFAULT_EJECTED_RATIO,
+  const ejection = createOutlierEjection({
+    findMaxEjectedRatio: () => findRouting()?.maxEjectedRatio ?? DEFAULT_EJECTED_RATIO,
   })
   const decisions = createDecisionLog(logger)
   const background = createBackground()
--- a/packages/routing/src/__tests__/backpressure.spec.ts
+++ b/packages/routing/src/__tests__/backpressure.spec.ts
@@ -1,7 +1,7 @@
 import { toBackendServerId } from '@spoolgate/core'
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { createBackpressure, MAX_BACKOFF_MS, TRIAL_MS } from '../backpressure.js'
+import { createBackpressure, MAX_BACKOFF_MS, TRIAL_INTERVAL_MS } from '../backpressure.js'
 
 const S1 = toBackendServerId('s1')
 const S2 = toBackendServerId('s2')
@@ -24,11 +24,11 @@
     backpressure.recordSend(S1, 1_000)
     expect(backpressure.judgeSend(S1, 1_001)).to.deep.equal({
       kind: 'backingOff',
-      until: 1_000 + TRIAL_MS,
+      until: 1_000 + TRIAL_INTERVAL_MS,
     })
-    expect(backpressure.judgeSend(S1, 1_000 + TRIAL_MS).kind).to.equal('open')
+    expect(backpressure.judgeSend(S1, 1_000 + TRIAL_INTERVAL_MS).kind).to.equal('open')
     backpressure.recordBackoff(S1, 1_000, 1_005)
-    expect(backpressure.judgeSend(S1, 1_000 + TRIAL_MS).kind).to.equal('backingOff')
+    expect(backpressure.judgeSend(S1, 1_000 + TRIAL_INTERVAL_MS).kind).to.equal('backingOff')
     expect(backpressure.judgeSend(S1, 2_005).kind).to.equal('trial')
   })
 
--- a/packages/routing/src/__tests__/routing.spec.ts
+++ b/packages/routing/src/__tests__/routing.spec.ts
@@ -2,10 +2,10 @@
 import { toBackendServerId, toPrefixHash, toWeightsVersion } from '@spoolgate/core'
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { createEjection } from '../ejection.js'
-import { buildPrefixChain, formatScope } from '../prefixChain.js'
+import { createOutlierEjection } from '../ejection.js'
+import { buildPrefixChain, formatCacheSalt } from '../prefixChain.js'
 import { renderPrompt } from '../promptText.js'
-import { createRendezvous } from '../rendezvous.js'
+import { createRendezvousHash } from '../rendezvous.js'
 import { createRetryBudget } from '../retryBudget.js'
 import { createSubsetWidths } from '../subsetWidths.js'
 
@@ -64,7 +64,7 @@
       (scope) => build(['the same prompt for all of them'], scope).levels[0].hash,
     )
     expect(new Set(hashes).size).to.equal(scopes.length)
-    expect(new Set(scopes.map(formatScope)).size).to.equal(scopes.length)
+    expect(new Set(scopes.map(formatCacheSalt)).size).to.equal(scopes.length)
   })
 })
 
@@ -72,7 +72,7 @@
   it('moves only the keys of a server that is gone', () => {
     const servers = createServers(10)
     const fewer = servers.slice(0, 9)
-    const rendezvous = createRendezvous()
+    const rendezvous = createRendezvousHash()
     let moved = 0
     for (let key = 0; key < 500; key += 1) {
       const [before] = rendezvous.rank(`key ${key}`, servers)
@@ -102,18 +102,18 @@
   const servers = createServers(6)
 
   it('ejects after repeated failures, lets back in, and never passes its share', () => {
-    const ejection = createEjection({ findMaxRatio: () => 0.34 })
+    const ejection = createOutlierEjection({ findMaxEjectedRatio: () => 0.34 })
     for (const { id } of servers) {
       ejection.record(id, 'failed', 0)
       ejection.record(id, 'failed', 0)
     }
     expect(ejection.listEjected(servers, 1).size).to.equal(2)
     expect(ejection.listEjected(servers, 5_000).size).to.equal(0)
-    expect(ejection.findSlowStartMs(servers[0].id, 1_500)).to.be.greaterThan(0)
+    expect(ejection.findSlowStartPenaltyMs(servers[0].id, 1_500)).to.be.greaterThan(0)
   })
 
   it('forgives a single failure', () => {
-    const ejection = createEjection({ findMaxRatio: () => 1 })
+    const ejection = createOutlierEjection({ findMaxEjectedRatio: () => 1 })
     ejection.record(servers[0].id, 'failed', 0)
     ejection.record(servers[0].id, 'ok', 0)
     ejection.record(servers[0].id, 'failed', 0)
@@ -126,7 +126,7 @@
     const budget = createRetryBudget(() => 0.1)
     let retries = 0
     for (let request = 0; request < 10_000; request += 1) {
-      budget.addFirstTry()
+      budget.recordFirstAttempt()
       if (budget.takeRetry()) retries += 1
     }
     expect(retries).to.be.at.most(1_010)
--- a/packages/routing/src/backpressure.ts
+++ b/packages/routing/src/backpressure.ts
@@ -35,9 +35,9 @@
 /** Time after which a server that announced its shutdown is tried again, in ms. */
 const LEAVING_MS = 600_000
 /** Time between the first request after a backoff and the next, in ms: an overloaded server rejects the first at once. */
-export const TRIAL_MS = 200
+export const TRIAL_INTERVAL_MS = 200
 /** Age up to which a signal may be of the next start: a start answers before its first heartbeat has reached routers. */
-export const CARRY_OVER_MS = 5_000
+export const CARRY_OVER_MAX_AGE_MS = 5_000
 /** Incarnations that are remembered: several times those of a large fleet. */
 const MAX_SERVERS = 5_000
 
@@ -70,7 +70,7 @@
       const backoff = backoffs.get(server)
       if (!backoff || now < backoff.until) return
       if (backoff.isTried) backoffs.delete(server)
-      else backoffs.set(server, { at: backoff.at, until: now + TRIAL_MS, isTried: true })
+      else backoffs.set(server, { at: backoff.at, until: now + TRIAL_INTERVAL_MS, isTried: true })
     },
     judgeSend: (server, now) => {
       if (now < (leavingUntil.get(server) ?? -Infinity)) return LEAVING
@@ -81,7 +81,7 @@
     },
     carryOver: (before, after, now) => {
       const backoff = backoffs.get(before)
-      if (!backoff || now - backoff.at > CARRY_OVER_MS || backoffs.has(after)) return
+      if (!backoff || now - backoff.at > CARRY_OVER_MAX_AGE_MS || backoffs.has(after)) return
       backoffs.set(after, { ...backoff })
     },
     listBackingOff: (now) =>
--- a/packages/routing/src/cacheScope.ts
+++ b/packages/routing/src/cacheScope.ts
@@ -19,7 +19,7 @@
 }
 
 /** Hashes a part within its scope; ids of parts are unique, so what comes before it is implied. */
-export function hashPart(scope: string, partId: string): number {
+export function hashPromptPart(scope: string, partId: string): number {
   return hashText(`${scope}/${partId}`)
 }
 
--- a/packages/routing/src/ejection.ts
+++ b/packages/routing/src/ejection.ts
@@ -5,12 +5,12 @@
 import type { BackendServerId } from '@spoolgate/core'
 
 /** Outcome of one try as ejection sees it. */
-export type TryOutcome = 'ok' | 'failed'
+export type EjectionOutcome = 'ok' | 'failed'
 
-/** Options of {@link createEjection}. */
-export interface EjectionOptions {
+/** Options of {@link createOutlierEjection}. */
+export interface OutlierEjectionOptions {
   /** Most servers of one model that may be out, as a share of them. */
-  readonly findMaxRatio: () => number
+  readonly findMaxEjectedRatio: () => number
 }
 
 /** Part of a backend server that ejection needs. */
@@ -19,12 +19,12 @@
 }
 
 /** Which backend servers this router leaves out for now. */
-export interface Ejection {
-  record(server: BackendServerId, outcome: TryOutcome, now: number): void
+export interface OutlierEjection {
+  record(server: BackendServerId, outcome: EjectionOutcome, now: number): void
   /** Lists those of `servers` that are out, at most the allowed share of them. */
   listEjected(servers: readonly EjectableServer[], now: number): ReadonlySet<BackendServerId>
   /** Penalty for a server that has just come back with an empty cache, in ms. */
-  findSlowStartMs(server: BackendServerId, now: number): number
+  findSlowStartPenaltyMs(server: BackendServerId, now: number): number
 }
 
 /** Failures in a row that eject. */
@@ -44,7 +44,7 @@
 }
 
 /** Creates an ejection without any server out. */
-export function createEjection(options: EjectionOptions): Ejection {
+export function createOutlierEjection(options: OutlierEjectionOptions): OutlierEjection {
   const healths = new Map<BackendServerId, Health>()
 
   const eject = (health: Health, now: number) => {
@@ -71,12 +71,12 @@
       const out = [...healths].filter(
         ([id, { until }]) => until > now && servers.some((server) => server.id === id),
       )
-      const limit = Math.floor(servers.length * options.findMaxRatio())
+      const limit = Math.floor(servers.length * options.findMaxEjectedRatio())
       // The longest ejections stay; the rest are used after all.
       out.sort(([, a], [, b]) => b.until - a.until)
       return new Set(out.slice(0, limit).map(([id]) => id))
     },
-    findSlowStartMs: (server, now) => {
+    findSlowStartPenaltyMs: (server, now) => {
       const until = healths.get(server)?.until
       if (until === undefined || now < until || now - until > SLOW_START_MS) return 0
       return SLOW_START_PENALTY_MS * (1 - (now - until) / SLOW_START_MS)
--- a/packages/routing/src/hints.ts
+++ b/packages/routing/src/hints.ts
@@ -35,7 +35,7 @@
 }
 
 /** What a router holds of one backend server. */
-export interface ServerView {
+export interface ServerHintState {
   readonly hints: ReplyHints
   /** When the hints arrived, in ms of the monotonic clock. */
   readonly at: number
@@ -48,13 +48,18 @@
 /** Hints about all backend servers, as one router has seen them. */
 export interface HintTable {
   /** Finds the view of a server. */
-  find(server: BackendServerId): ServerView | undefined
+  find(server: BackendServerId): ServerHintState | undefined
   /** Records the hints of a reply. */
   record(hints: ReplyHints, now: number): void
   /** Records how much of a chain a server holds: what lies beyond `matchedTokens` it does not. */
-  recordCached(chain: PrefixChain, hints: ReplyHints, matchedTokens: number, now: number): void
+  recordCachedPrefix(
+    chain: PrefixChain,
+    hints: ReplyHints,
+    matchedTokens: number,
+    now: number,
+  ): void
   /** Lists the servers that are remembered to hold any level of a chain. */
-  listHolders(chain: PrefixChain): ReadonlySet<BackendServerId>
+  listServersWithPrefix(chain: PrefixChain): ReadonlySet<BackendServerId>
   /** Records that a server lost its cache or cannot be reached. */
   remove(server: BackendServerId): void
   /** Records the start of a call. */
@@ -64,7 +69,7 @@
   /** Counts the calls of this router in progress at a server. */
   countCalls(server: BackendServerId): number
   /** Estimates how many prompt tokens are cached at a server; undefined where nothing is known. */
-  estimateMatched(chain: PrefixChain, server: BackendServerId, now: number): number | undefined
+  estimateCachedTokens(chain: PrefixChain, server: BackendServerId, now: number): number | undefined
 }
 
 interface CachedAt {
@@ -91,7 +96,7 @@
 /** Creates an empty table. */
 export function createHintTable(options: HintTableOptions = {}): HintTable {
   const maxLevels = options.maxLevels ?? MAX_LEVELS_REMEMBERED
-  const views = new Map<BackendServerId, ServerView>()
+  const views = new Map<BackendServerId, ServerHintState>()
   const calls = new Map<BackendServerId, number>()
   const levels = new LRUCache<PrefixHash, LevelEntry>({ max: maxLevels })
 
@@ -107,13 +112,13 @@
       const inProgress = calls.get(hints.server) ?? 0
       views.set(hints.server, { hints, at: now, inProgress, sentTokens: 0 })
     },
-    recordCached: (chain, hints, matchedTokens, now) => {
+    recordCachedPrefix: (chain, hints, matchedTokens, now) => {
       for (const level of chain.levels) {
         if (level.tokens <= matchedTokens) recordLevel(level.hash, hints, now)
         else levels.get(level.hash)?.delete(hints.server)
       }
     },
-    listHolders: (chain) => {
+    listServersWithPrefix: (chain) => {
       const holders = new Set<BackendServerId>()
       for (const { hash } of chain.levels) {
         for (const server of levels.get(hash)?.keys() ?? []) holders.add(server)
@@ -128,7 +133,7 @@
     },
     removeCall: (server) => void calls.set(server, Math.max(0, (calls.get(server) ?? 0) - 1)),
     countCalls: (server) => calls.get(server) ?? 0,
-    estimateMatched: (chain, server, now) => {
+    estimateCachedTokens: (chain, server, now) => {
       const view = views.get(server)
       if (!view) return undefined
       for (let index = chain.levels.length - 1; index >= 0; index -= 1) {
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,9 +1,9 @@
-export { formatCacheScope, formatStoreId, hashPart, parseScopeVersion } from './cacheScope.js'
-export { MAX_LEVELS, renderPrompt, type PromptText } from './promptText.js'
+export { formatCacheScope, formatStoreId, hashPromptPart, parseScopeVersion } from './cacheScope.js'
+export { MAX_PROMPT_LEVELS, renderPrompt, type PromptText } from './promptText.js'
 export {
   buildPrefixChain,
-  countTokens,
-  formatScope,
+  estimateTokenCount,
+  formatCacheSalt,
   hashPrefixes,
   hashText,
   type BlockSizes,
@@ -11,7 +11,7 @@
   type PrefixChain,
   type PrefixLevel,
 } from './prefixChain.js'
-export { createHintTable, type HintTable, type ReplyHints, type ServerView } from './hints.js'
+export { createHintTable, type HintTable, type ReplyHints, type ServerHintState } from './hints.js'
 export {
   CALL_HEADER,
   FRAME_EVENTS,
@@ -26,18 +26,23 @@
   type EndFrame,
   type HeadFrame,
 } from './callHeader.js'
-export { createRendezvous, type Rendezvous } from './rendezvous.js'
+export { createRendezvousHash, type RendezvousHash } from './rendezvous.js'
 export { createSubsetWidths, type SubsetWidths } from './subsetWidths.js'
 export { createRetryBudget, type RetryBudget } from './retryBudget.js'
 export {
   createBackpressure,
-  CARRY_OVER_MS,
+  CARRY_OVER_MAX_AGE_MS,
   MAX_BACKOFF_MS,
-  TRIAL_MS,
+  TRIAL_INTERVAL_MS,
   type Backpressure,
   type SendVerdict,
 } from './backpressure.js'
-export { createEjection, type EjectableServer, type Ejection, type TryOutcome } from './ejection.js'
+export {
+  createOutlierEjection,
+  type EjectableServer,
+  type OutlierEjection,
+  type EjectionOutcome,
+} from './ejection.js'
 export { POLICIES } from './policies/index.js'
 export type { Policy, PolicyInput, PolicyState, RankedCandidate } from './policies/policy.js'
 export {
--- a/packages/routing/src/policies/expectedFirstToken.ts
+++ b/packages/routing/src/policies/expectedFirstToken.ts
@@ -67,7 +67,7 @@
 function listCandidates(input: PolicyInput, place: Placement): BackendServer[] {
   const { servers, random, state } = input
   if (servers.length <= MAX_SCORED) return servers.filter(input.isAllowed)
-  const holders = state.hints.listHolders(input.chain)
+  const holders = state.hints.listServersWithPrefix(input.chain)
   const listed = new Set(place.subset)
   for (const server of servers) {
     if (listed.size >= MAX_SCORED) break
@@ -110,7 +110,7 @@
 ): RankedCandidate {
   const hints = input.state.hints.find(server.id)?.hints
   const rate = hints?.prefillTokensPerMs ?? DEFAULT_RATE
-  const known = input.state.hints.estimateMatched(input.chain, server.id, input.now)
+  const known = input.state.hints.estimateCachedTokens(input.chain, server.id, input.now)
   const matched = known ?? presumeMatched(server, place)
   const recomputeMs = (input.chain.totalTokens - matched) / rate
   const queueMs = estimateQueueMs(input, server, rate)
--- a/packages/routing/src/policies/policy.ts
+++ b/packages/routing/src/policies/policy.ts
@@ -3,13 +3,13 @@
 import type { BackendServerId, RandomSource } from '@spoolgate/core'
 import type { HintTable } from '../hints.js'
 import type { PrefixChain } from '../prefixChain.js'
-import type { Rendezvous } from '../rendezvous.js'
+import type { RendezvousHash } from '../rendezvous.js'
 import type { SubsetWidths } from '../subsetWidths.js'
 
 /** Memory that policies of one router share. */
 export interface PolicyState {
   readonly hints: HintTable
-  readonly rendezvous: Rendezvous
+  readonly rendezvous: RendezvousHash
   readonly widths: SubsetWidths
   /** Next turn by model or group, for policies that go round. */
   readonly turns: Map<string, number>
--- a/packages/routing/src/prefixChain.ts
+++ b/packages/routing/src/prefixChain.ts
@@ -44,7 +44,7 @@
 }
 
 /** Formats a scope as the salt that engines take. */
-export function formatScope(scope: CacheScope): string {
+export function formatCacheSalt(scope: CacheScope): string {
   return [scope.owner, scope.model, scope.adapter, scope.weightsVersion].join('/')
 }
 
@@ -65,7 +65,7 @@
 }
 
 /** Counts the tokens of `bytes` bytes of text. */
-export function countTokens(bytes: number, sizes: BlockSizes): number {
+export function estimateTokenCount(bytes: number, sizes: BlockSizes): number {
   return Math.ceil(bytes / sizes.bytesPerToken)
 }
 
@@ -78,12 +78,12 @@
   const blockBytes = sizes.blockTokens * sizes.bytesPerToken
   const blockEnds = prompt.levelEnds.map((end) => Math.floor(end / blockBytes))
   const counts = [...new Set(blockEnds)].filter((blocks) => blocks > 0)
-  const salt = formatScope(scope)
+  const salt = formatCacheSalt(scope)
   const hashes = hashPrefixes(
     salt,
     prompt.bytes,
     counts.map((blocks) => blocks * blockBytes),
   )
   const levels = hashes.map((hash, index) => ({ hash, tokens: counts[index] * sizes.blockTokens }))
-  return { scope: salt, levels, totalTokens: countTokens(prompt.bytes.length, sizes) }
+  return { scope: salt, levels, totalTokens: estimateTokenCount(prompt.bytes.length, sizes) }
 }
--- a/packages/routing/src/promptText.ts
+++ b/packages/routing/src/promptText.ts
@@ -6,7 +6,7 @@
 import { SpoolgateError } from '@spoolgate/core'
 
 /** Largest number of levels that are distinguished; longer chats keep the outermost and the last. */
-export const MAX_LEVELS = 8
+export const MAX_PROMPT_LEVELS = 8
 
 /** A prompt as bytes. */
 export interface PromptText {
@@ -30,8 +30,8 @@
 }
 
 function toLevelEnds(ends: readonly number[]): number[] {
-  if (ends.length <= MAX_LEVELS) return [...ends]
-  return [...ends.slice(0, MAX_LEVELS - 1), ends[ends.length - 1]]
+  if (ends.length <= MAX_PROMPT_LEVELS) return [...ends]
+  return [...ends.slice(0, MAX_PROMPT_LEVELS - 1), ends[ends.length - 1]]
 }
 
 function renderMessages(messages: readonly ChatMessage[]): PromptText {
--- a/packages/routing/src/rendezvous.ts
+++ b/packages/routing/src/rendezvous.ts
@@ -7,7 +7,7 @@
 import { hashText } from './prefixChain.js'
 
 /** Ranks backend servers for keys. */
-export interface Rendezvous {
+export interface RendezvousHash {
   /** Ranks `servers` for a key, best first. The list must be the same object while it is unchanged. */
   rank(key: string, servers: readonly BackendServer[]): readonly BackendServer[]
   /** Finds the best of a few servers for a key; undefined for none. */
@@ -30,7 +30,7 @@
 }
 
 /** Creates a ranking with a memory. */
-export function createRendezvous(): Rendezvous {
+export function createRendezvousHash(): RendezvousHash {
   const remembered = new LRUCache<string, Remembered>({ max: MAX_REMEMBERED })
   return {
     rank: (key, servers) => {
--- a/packages/routing/src/retryBudget.ts
+++ b/packages/routing/src/retryBudget.ts
@@ -6,7 +6,7 @@
 /** A budget that the tries of one router share. */
 export interface RetryBudget {
   /** Notes a first try. */
-  addFirstTry(): void
+  recordFirstAttempt(): void
   /** Takes one retry out of the budget; false when it is spent. */
   takeRetry(): boolean
 }
@@ -20,7 +20,7 @@
 export function createRetryBudget(findRatio: () => number): RetryBudget {
   let balance = MIN_BALANCE
   return {
-    addFirstTry: () => {
+    recordFirstAttempt: () => {
       balance = Math.min(MAX_BALANCE, balance + findRatio())
     },
     takeRetry: () => {
--- a/packages/sidecar/src/calls/admission.ts
+++ b/packages/sidecar/src/calls/admission.ts
@@ -1,7 +1,12 @@
 /** Decides whether a call is claimed or declined. A decline promises that the call is not run. */
 import type { Fleet } from '@spoolgate/config'
 import type { Incarnation, TeamId } from '@spoolgate/core'
-import { formatScope, type CallHeader, type Decline, type DeclineReason } from '@spoolgate/routing'
+import {
+  formatCacheSalt,
+  type CallHeader,
+  type Decline,
+  type DeclineReason,
+} from '@spoolgate/routing'
 import type { BackendState } from '../backend/backendWatcher.js'
 
 /** What the decision rests on, all known to this process at this instant. */
@@ -27,7 +32,7 @@
   if (!found || facts.serves === undefined) return undefined
   const owner = found.parameters.cacheScope === 'shared' ? 'shared' : team
   const { weightsVersion } = facts.backend
-  return formatScope({ owner, model: facts.serves, adapter: '', weightsVersion })
+  return formatCacheSalt({ owner, model: facts.serves, adapter: '', weightsVersion })
 }
 
 /** Checks in the order in which they are made; the first that holds gives the reason. */
--- a/packages/spoolgate/src/node/bench/scaleBench.ts
+++ b/packages/spoolgate/src/node/bench/scaleBench.ts
@@ -23,9 +23,9 @@
   buildPrefixChain,
   CALL_HEADER,
   createHintTable,
-  createRendezvous,
+  createRendezvousHash,
   createSubsetWidths,
-  formatScope,
+  formatCacheSalt,
   HINTS_HEADER,
   POLICIES,
   renderPrompt,
@@ -135,7 +135,7 @@
 function createState(): PolicyState {
   return {
     hints: createHintTable(),
-    rendezvous: createRendezvous(),
+    rendezvous: createRendezvousHash(),
     widths: createSubsetWidths(),
     turns: new Map(),
   }
@@ -156,7 +156,7 @@
     leaving: false,
   }
   state.hints.record(hints, now)
-  state.hints.recordCached(chain, hints, Infinity, now)
+  state.hints.recordCachedPrefix(chain, hints, Infinity, now)
 }
 
 function measurePoint(serverCount: number, teams: number, decisions: number): ScalePoint {
@@ -284,7 +284,7 @@
     request: toRequestId(createUniqueId('req')),
     attempt: toAttemptNumber(1),
     team: toTeamId('team-123'),
-    scope: formatScope(scope),
+    scope: formatCacheSalt(scope),
     weightsVersion: scope.weightsVersion,
     configVersion: toConfigVersion(123_456),
     method: 'POST',
--- a/packages/standins/src/engine/engineRequest.ts
+++ b/packages/standins/src/engine/engineRequest.ts
@@ -1,6 +1,6 @@
 /** Reading of an OpenAI-style request into what the engine computes. */
 import { SpoolgateError, type PrefixHash } from '@spoolgate/core'
-import { countTokens, hashPrefixes, renderPrompt } from '@spoolgate/routing'
+import { estimateTokenCount, hashPrefixes, renderPrompt } from '@spoolgate/routing'
 import { countAnswerTokens, hashPromptText } from './answers.js'
 
 /** Tokens generated when the caller names no bound. */
@@ -56,7 +56,7 @@
     includeUsage: streamOptions?.include_usage === true,
     priority: readNumber(body.priority, 0),
     blocks: hashPrefixes(salt, prompt.bytes, listBlockEnds(prompt.bytes.length, sizes)),
-    promptTokens: countTokens(prompt.bytes.length, sizes),
+    promptTokens: estimateTokenCount(prompt.bytes.length, sizes),
     promptHash: hashPromptText(prompt.bytes),
     maxTokens: Math.max(1, maxTokens),
     resumedTokens: countAnswerTokens(resumeText),
