--- a/packages/routing/src/__tests__/backpressure.spec.ts
+++ b/packages/routing/src/__tests__/backpressure.spec.ts
@@ -6,8 +6,8 @@
 const S1 = toBackendServerId('s1')
 const S2 = toBackendServerId('s2')
 
-describe('servers that want nothing for a while', () => {
-  it('get a backoff for as long as they asked, and nobody else does', () => {
+describe('backoff', () => {
+  it('blocks requests to the server for the requested time, and to no other server', () => {
     const backpressure = createBackpressure()
     backpressure.recordBackoff(S1, 1_700, 100)
     expect(backpressure.judgeSend(S1, 100)).to.deep.equal({ kind: 'backingOff', until: 1_800 })
@@ -18,7 +18,7 @@
     expect(backpressure.listBackingOff(1_800)).to.deep.equal([])
   })
 
-  it('get one request first, and the others only when it was not rejected', () => {
+  it('allows one trial request first, and others only if it is not rejected', () => {
     const backpressure = createBackpressure()
     backpressure.recordBackoff(S1, 1_000, 0)
     backpressure.recordSend(S1, 1_000)
@@ -32,31 +32,31 @@
     expect(backpressure.judgeSend(S1, 2_005).kind).to.equal('trial')
   })
 
-  it('are believed up to a bound', () => {
+  it('is limited to the maximum', () => {
     const backpressure = createBackpressure()
     backpressure.recordBackoff(S1, 86_400_000, 0)
     expect(backpressure.judgeSend(S1, MAX_BACKOFF_MS - 1).kind).to.equal('backingOff')
     expect(backpressure.judgeSend(S1, MAX_BACKOFF_MS).kind).to.equal('trial')
   })
 
-  it('never get a request within any backoff that they asked for, whatever came before', () => {
-    const fact = fc.record({
+  it('never allows a request during a requested backoff, whatever came before', () => {
+    const step = fc.record({
       afterMs: fc.nat({ max: 800 }),
       retryAfterMs: fc.option(fc.nat({ max: 3_000 })),
     })
     fc.assert(
-      fc.property(fc.array(fact, { maxLength: 40 }), (facts) => {
+      fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
         const backpressure = createBackpressure()
         let now = 0
-        let restsUntil = 0
-        for (const { afterMs, retryAfterMs } of facts) {
+        let backoffUntil = 0
+        for (const { afterMs, retryAfterMs } of steps) {
           now += afterMs
           const isSent = ['open', 'trial'].includes(backpressure.judgeSend(S1, now).kind)
-          expect(isSent && now < restsUntil).to.equal(false)
+          expect(isSent && now < backoffUntil).to.equal(false)
           if (isSent) backpressure.recordSend(S1, now)
           if (retryAfterMs === null) continue
           backpressure.recordBackoff(S1, retryAfterMs, now)
-          restsUntil = Math.max(restsUntil, now + retryAfterMs)
+          backoffUntil = Math.max(backoffUntil, now + retryAfterMs)
         }
         expect(backpressure.judgeSend(S1, now + MAX_BACKOFF_MS).kind).to.be.oneOf(['open', 'trial'])
       }),
@@ -65,8 +65,8 @@
   })
 })
 
-describe('servers that are about to end', () => {
-  it('get nothing more, whatever backoff they ask for, and are not forgotten for good', () => {
+describe('announced shutdown', () => {
+  it('blocks requests whatever backoff is requested, and expires', () => {
     const backpressure = createBackpressure()
     backpressure.recordLeaving(S1, 0)
     backpressure.recordBackoff(S1, 1_000, 0)
--- a/packages/routing/src/__tests__/routing.spec.ts
+++ b/packages/routing/src/__tests__/routing.spec.ts
@@ -34,25 +34,25 @@
     return buildPrefixChain(scope, renderPrompt({ messages }), SIZES)
   }
 
-  it('agree exactly as far as the prompts do', () => {
+  it('have equal hashes exactly as far as the prompts are equal', () => {
     fc.assert(
       fc.property(texts, texts, (shared, rest) => {
         const a = build([...shared, 'A'.repeat(40), ...rest])
         const b = build([...shared, 'B'.repeat(40), ...rest])
-        const common = build(shared).levels
-        for (const [index, level] of common.entries()) {
+        const sharedLevels = build(shared).levels
+        for (const [index, level] of sharedLevels.entries()) {
           expect(a.levels[index]).to.deep.equal(level)
           expect(b.levels[index]).to.deep.equal(level)
         }
-        const hashes = new Set(a.levels.slice(common.length).map(({ hash }) => hash))
-        for (const { hash } of b.levels.slice(common.length))
+        const hashes = new Set(a.levels.slice(sharedLevels.length).map(({ hash }) => hash))
+        for (const { hash } of b.levels.slice(sharedLevels.length))
           expect(hashes.has(hash)).to.equal(false)
       }),
       { seed: 5 },
     )
   })
 
-  it('never meet over teams, models, adapters or weights', () => {
+  it('differ between teams, models, adapters and weights versions', () => {
     const scopes = [
       SCOPE,
       { ...SCOPE, owner: 'other' },
@@ -69,39 +69,39 @@
 })
 
 describe('rendezvous hashing', () => {
-  it('moves only the keys of a server that is gone', () => {
+  it('moves only the keys of a removed server', () => {
     const servers = createServers(10)
     const fewer = servers.slice(0, 9)
     const rendezvous = createRendezvousHash()
-    let moved = 0
+    let movedKeys = 0
     for (let key = 0; key < 500; key += 1) {
       const [before] = rendezvous.rank(`key ${key}`, servers)
       const [after] = rendezvous.rank(`key ${key}`, fewer)
       if (before.id !== 's9') expect(after.id).to.equal(before.id)
-      else moved += 1
+      else movedKeys += 1
     }
-    expect(moved).to.be.within(20, 100)
+    expect(movedKeys).to.be.within(20, 100)
   })
 })
 
-describe('the width of a subset', () => {
-  it('grows step by step under load and shrinks only after a quiet while', () => {
+describe('subset widths', () => {
+  it('grow in steps under load and shrink only after a period without load', () => {
     const widths = createSubsetWidths()
-    const outer = toPrefixHash('hot')
-    for (let now = 0; now < 1_000; now += 10) widths.record(outer, 500, 100, now)
-    expect(widths.find(outer)).to.be.within(3, 6)
-    const wide = widths.find(outer)
-    widths.record(outer, 0, 100, 2_000)
-    expect(widths.find(outer)).to.equal(wide)
-    widths.record(outer, 0, 100, 30_000)
-    expect(widths.find(outer)).to.equal(wide - 1)
+    const outerHash = toPrefixHash('hot')
+    for (let now = 0; now < 1_000; now += 10) widths.record(outerHash, 500, 100, now)
+    expect(widths.find(outerHash)).to.be.within(3, 6)
+    const widened = widths.find(outerHash)
+    widths.record(outerHash, 0, 100, 2_000)
+    expect(widths.find(outerHash)).to.equal(widened)
+    widths.record(outerHash, 0, 100, 30_000)
+    expect(widths.find(outerHash)).to.equal(widened - 1)
   })
 })
 
-describe('ejection', () => {
+describe('outlier ejection', () => {
   const servers = createServers(6)
 
-  it('ejects after repeated failures, lets back in, and never passes its share', () => {
+  it('ejects after consecutive failures, readmits servers, and never exceeds the allowed share', () => {
     const ejection = createOutlierEjection({ findMaxEjectedRatio: () => 0.34 })
     for (const { id } of servers) {
       ejection.record(id, 'failed', 0)
@@ -112,7 +112,7 @@
     expect(ejection.findSlowStartPenaltyMs(servers[0].id, 1_500)).to.be.greaterThan(0)
   })
 
-  it('forgives a single failure', () => {
+  it('does not eject for failures that are not consecutive', () => {
     const ejection = createOutlierEjection({ findMaxEjectedRatio: () => 1 })
     ejection.record(servers[0].id, 'failed', 0)
     ejection.record(servers[0].id, 'ok', 0)
@@ -121,8 +121,8 @@
   })
 })
 
-describe('the retry budget', () => {
-  it('keeps retries to a fraction of first tries in a storm', () => {
+describe('retry budget', () => {
+  it('limits retries to a fraction of first attempts when all attempts fail', () => {
     const budget = createRetryBudget(() => 0.1)
     let retries = 0
     for (let request = 0; request < 10_000; request += 1) {
--- a/packages/routing/src/cacheScope.ts
+++ b/packages/routing/src/cacheScope.ts
@@ -1,29 +1,29 @@
 /**
- * What cached prompt parts of the direct path must share, and the short numbers by which instances
- * report parts to each other.
+ * Cache scopes and part hashes of the direct path: a cached prompt part may be reused only within its scope, and
+ * instances report parts to each other by their hashes.
  */
 import type { TeamId } from '@spoolgate/core'
 import { hashText } from './prefixChain.js'
 
-const SCOPE = /^(.*)\.v(\d+)$/
+const SCOPE_PATTERN = /^(.*)\.v(\d+)$/
 
-/** Formats a scope: the team whose parts are kept apart, or undefined for shared ones, and weights. */
+/** Formats a scope from the team whose parts are isolated, undefined for shared parts, and the weights version. */
 export function formatCacheScope(isolatedTeam: TeamId | undefined, version: number): string {
   return `${isolatedTeam ?? 'shared'}.v${version}`
 }
 
-/** Reads the weights version out of a scope; undefined for a text that is no scope of the fleet. */
+/** Parses the weights version from a scope; undefined for text that {@link formatCacheScope} did not produce. */
 export function parseScopeVersion(scope: string): number | undefined {
-  const version = SCOPE.exec(scope)?.[2]
+  const version = SCOPE_PATTERN.exec(scope)?.[2]
   return version === undefined ? undefined : Number(version)
 }
 
-/** Hashes a part within its scope; ids of parts are unique, so what comes before it is implied. */
+/** Hashes a part within its scope. Part IDs are unique, so the hash need not cover the parts before it. */
 export function hashPromptPart(scope: string, partId: string): number {
   return hashText(`${scope}/${partId}`)
 }
 
-/** Names one life of a store for one weights version, as memories of cached parts know it. */
+/** Formats the ID that cache indexes use for one epoch of a store and one weights version. */
 export function formatStoreId(address: string, epoch: number, version: number): string {
   return `store/${address}/${epoch}/${version}`
 }
--- a/packages/routing/src/callHeader.ts
+++ b/packages/routing/src/callHeader.ts
@@ -1,4 +1,4 @@
-/** The messages between router and sidecar: HTTP headers with JSON, and the frames of an answer. */
+/** Messages between router and sidecar: HTTP headers that contain JSON, and the server-sent events of a response. */
 import type {
   AttemptNumber,
   ConfigVersion,
@@ -8,28 +8,28 @@
   WeightsVersion,
 } from '@spoolgate/core'
 
-/** Header with the {@link CallHeader} of a request to a sidecar. */
+/** Request header that contains the {@link CallHeader}. */
 export const CALL_HEADER = 'x-spoolgate-call'
-/** Header with the reply hints of an answer. */
+/** Response header that contains the reply hints. */
 export const HINTS_HEADER = 'x-spoolgate-hints'
 
-/** One dispatch of an unrepeatable request, as its claim names it. */
+/** Identifies one dispatch of an unrepeatable request under its claim. */
 export interface Dispatch {
   readonly claim: string
-  /** Number of the dispatch within the claim, from 1. */
+  /** Sequence number of the dispatch within the claim, from 1. */
   readonly number: number
   /** The only incarnation of the sidecar that may run it. */
   readonly incarnation: Incarnation
 }
 
-/** What a router sends to a sidecar about a call, next to the caller's own body. */
+/** Metadata of a call that a router sends to a sidecar along with the caller's request body. */
 export interface CallHeader {
   readonly request: RequestId
   readonly attempt: AttemptNumber
   readonly team: TeamId
   /** Cache scope; empty for plain services. */
   readonly scope: string
-  /** Weights that may answer; undefined for plain services. */
+  /** Weights version that must run the call; undefined for plain services. */
   readonly weightsVersion?: WeightsVersion
   readonly configVersion: ConfigVersion
   readonly method: string
@@ -39,19 +39,19 @@
   readonly priority: number
   /** Weight of the team in the fair queue. */
   readonly share: number
-  /** Milliseconds that the caller still waits for the first token; undefined for no deadline. */
+  /** Time that the caller still waits for the first token, in ms; undefined for no deadline. */
   readonly deadlineMs?: number
   /**
-   * Longest expected time to the first token, in ms, for which this backend server is still the
-   * best choice as the router sees it; undefined claims at any length.
+   * Longest expected time to the first token, in ms, at which the router still considers this backend server the best
+   * choice; the sidecar declines the call above it. Undefined for no limit.
    */
   readonly acceptMs?: number
-  /** Text that an earlier attempt already delivered, to go on from. */
+  /** Whether the body includes text that an earlier attempt already delivered, from which generation resumes. */
   readonly hasResumeText?: boolean
   readonly dispatch?: Dispatch
 }
 
-/** Why a sidecar declined a call. A decline is a promise that the call was not run. */
+/** Why a sidecar declined a call. A decline guarantees that the call was not run. */
 export type DeclineReason =
   | 'leaving'
   | 'notReady'
@@ -64,23 +64,23 @@
   | 'longerThanExpected'
   | 'dispatchBarred'
 
-/** Body of a decline, with status 409. */
+/** Response body of a declined call, sent with status 409. */
 export interface Decline {
   readonly declined: DeclineReason
-  /** Milliseconds after which it may go better; undefined when unknown. */
+  /** Time after which a retry may succeed, in ms; undefined when unknown. */
   readonly retryAfterMs?: number
 }
 
-/** Names of the events of an answer's frames; a frame without one carries an event of the stream. */
+/** Event names of the frames of a response; a frame without a name contains an event of the backend server's stream. */
 export const FRAME_EVENTS = { head: 'head', body: 'body', end: 'end' } as const
 
-/** First frame: status and headers of the answer. */
+/** First frame of a response: its status and content type. */
 export interface HeadFrame {
   readonly status: number
   readonly contentType: string
 }
 
-/** Frame with a whole body; text where it is valid UTF-8, base64 otherwise. */
+/** Frame with a complete body: `text` if it is valid UTF-8, `base64` otherwise. */
 export interface BodyFrame {
   readonly text?: string
   readonly base64?: string
@@ -89,13 +89,13 @@
 /** Last frame of an attempt. */
 export interface EndFrame {
   readonly outcome: 'finished' | 'failed'
-  /** Why it failed. */
+  /** Why the attempt failed. */
   readonly reason?: string
-  /** True when no byte of the call reached the backend server. */
+  /** Whether no byte of the call reached the backend server. */
   readonly notRun?: boolean
 }
 
-/** Answer to a question about one dispatch. */
+/** State of one dispatch, as the sidecar reports it on request. */
 export type DispatchState =
   | { readonly state: 'running' }
   | { readonly state: 'finished' }
@@ -103,7 +103,7 @@
   | { readonly state: 'failed'; readonly notRun: boolean }
   | { readonly state: 'otherIncarnation' }
 
-/** Formats one frame; `data` must not hold a line break. */
+/** Formats one frame as a server-sent event; `data` must not contain a line break. */
 export function formatFrame(sequence: number, event: string | undefined, data: string): string {
   if (event === undefined) return `id: ${sequence}\ndata: ${data}\n\n`
   return `id: ${sequence}\nevent: ${event}\ndata: ${data}\n\n`
--- a/packages/routing/src/ejection.ts
+++ b/packages/routing/src/ejection.ts
@@ -1,85 +1,94 @@
 /**
- * Ejection of backend servers that fail, hang or are far slower than their peers, for a time that
- * doubles with each ejection, and never of more than a share of them at once.
+ * Outlier ejection: backend servers that repeatedly fail or time out receive no requests for a time that doubles with each
+ * ejection. Only a limited share of the servers is ejected at once.
  */
 import type { BackendServerId } from '@spoolgate/core'
 
-/** Outcome of one try as ejection sees it. */
+/** Outcome of an attempt for the purpose of ejection. */
 export type EjectionOutcome = 'ok' | 'failed'
 
 /** Options of {@link createOutlierEjection}. */
 export interface OutlierEjectionOptions {
-  /** Most servers of one model that may be out, as a share of them. */
+  /** Returns the largest share of a model's servers that may be ejected at once. */
   readonly findMaxEjectedRatio: () => number
 }
 
-/** Part of a backend server that ejection needs. */
+/** Fields of a backend server that ejection reads. */
 export interface EjectableServer {
   readonly id: BackendServerId
 }
 
-/** Which backend servers this router leaves out for now. */
+/** Backend servers that this router has ejected; see {@link createOutlierEjection}. */
 export interface OutlierEjection {
+  /** Records the outcome of an attempt. */
   record(server: BackendServerId, outcome: EjectionOutcome, now: number): void
-  /** Lists those of `servers` that are out, at most the allowed share of them. */
+  /** Lists the ejected servers among `servers`, at most the allowed share of them. */
   listEjected(servers: readonly EjectableServer[], now: number): ReadonlySet<BackendServerId>
-  /** Penalty for a server that has just come back with an empty cache, in ms. */
+  /** Finds the ranking penalty of a server whose ejection ended recently, in ms; its cache may be empty. */
   findSlowStartPenaltyMs(server: BackendServerId, now: number): number
 }
 
-/** Failures in a row that eject. */
-const FAILURES_TO_EJECT = 2
-const FIRST_EJECTION_MS = 1_000
+const CONSECUTIVE_FAILURES_TO_EJECT = 2
+/** Duration of the first ejection, in ms. */
+const BASE_EJECTION_MS = 1_000
 const MAX_EJECTION_MS = 30_000
-/** Time after which earlier ejections are forgotten, in ms. */
-const FORGET_AFTER_MS = 60_000
-/** Time over which a server that came back takes its full share again, in ms. */
+/** Time after the end of an ejection from which the next one is as short as the first, in ms. */
+const EJECTION_HISTORY_MS = 60_000
+/** Time over which a readmitted server returns to its full share of requests, in ms: its penalty falls to 0. */
 const SLOW_START_MS = 2_000
+/** Ranking penalty right after an ejection, in ms. */
 const SLOW_START_PENALTY_MS = 200
 
 interface Health {
-  failures: number
-  ejections: number
-  until: number
+  consecutiveFailures: number
+  recentEjections: number
+  ejectedUntil: number
 }
 
-/** Creates an ejection without any server out. */
+/** Creates a tracker without ejected servers. */
 export function createOutlierEjection(options: OutlierEjectionOptions): OutlierEjection {
-  const healths = new Map<BackendServerId, Health>()
+  const healthByServer = new Map<BackendServerId, Health>()
 
   const eject = (health: Health, now: number) => {
-    if (now - health.until > FORGET_AFTER_MS) health.ejections = 0
-    const duration = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** health.ejections)
-    health.ejections += 1
-    health.failures = 0
-    health.until = now + duration
+    if (now - health.ejectedUntil > EJECTION_HISTORY_MS) health.recentEjections = 0
+    const duration = Math.min(MAX_EJECTION_MS, BASE_EJECTION_MS * 2 ** health.recentEjections)
+    health.recentEjections += 1
+    health.consecutiveFailures = 0
+    health.ejectedUntil = now + duration
   }
   return {
     record: (server, outcome, now) => {
       if (outcome === 'ok') {
-        const health = healths.get(server)
-        if (health) health.failures = 0
+        const health = healthByServer.get(server)
+        if (health) health.consecutiveFailures = 0
         return
       }
-      const health = healths.get(server) ?? { failures: 0, ejections: 0, until: -Infinity }
-      healths.set(server, health)
-      health.failures += 1
-      if (health.failures >= FAILURES_TO_EJECT && now >= health.until) eject(health, now)
+      const health = healthByServer.get(server) ?? {
+        consecutiveFailures: 0,
+        recentEjections: 0,
+        ejectedUntil: -Infinity,
+      }
+      healthByServer.set(server, health)
+      health.consecutiveFailures += 1
+      if (health.consecutiveFailures >= CONSECUTIVE_FAILURES_TO_EJECT && now >= health.ejectedUntil)
+        eject(health, now)
     },
     listEjected: (servers, now) => {
-      // Few are ever out, so their list is walked and not that of all backend servers.
-      const out = [...healths].filter(
-        ([id, { until }]) => until > now && servers.some((server) => server.id === id),
+      // Few servers ever fail, so this iterates over their records rather than over all backend servers.
+      const ejected = [...healthByServer].filter(
+        ([id, { ejectedUntil }]) =>
+          ejectedUntil > now && servers.some((server) => server.id === id),
       )
-      const limit = Math.floor(servers.length * options.findMaxEjectedRatio())
-      // The longest ejections stay; the rest are used after all.
-      out.sort(([, a], [, b]) => b.until - a.until)
-      return new Set(out.slice(0, limit).map(([id]) => id))
+      const maxEjected = Math.floor(servers.length * options.findMaxEjectedRatio())
+      // Above the limit, the servers whose ejection ends first are used again.
+      ejected.sort(([, a], [, b]) => b.ejectedUntil - a.ejectedUntil)
+      return new Set(ejected.slice(0, maxEjected).map(([id]) => id))
     },
     findSlowStartPenaltyMs: (server, now) => {
-      const until = healths.get(server)?.until
-      if (until === undefined || now < until || now - until > SLOW_START_MS) return 0
-      return SLOW_START_PENALTY_MS * (1 - (now - until) / SLOW_START_MS)
+      const ejectedUntil = healthByServer.get(server)?.ejectedUntil
+      if (ejectedUntil === undefined || now < ejectedUntil || now - ejectedUntil > SLOW_START_MS)
+        return 0
+      return SLOW_START_PENALTY_MS * (1 - (now - ejectedUntil) / SLOW_START_MS)
     },
   }
 }
--- a/packages/routing/src/hints.ts
+++ b/packages/routing/src/hints.ts
@@ -1,6 +1,6 @@
 /**
- * What a sidecar says of its backend server on every reply, and what a router remembers of it.
- * Hints only steer: the sidecar decides again when the call arrives.
+ * Hints about the load and cache of a backend server, which its sidecar sends with every reply, and the router's table of
+ * them. Hints only guide routing: the sidecar decides on admission when the call arrives.
  */
 import type {
   BackendServerId,
@@ -12,12 +12,12 @@
 import { LRUCache } from 'lru-cache'
 import type { PrefixChain } from './prefixChain.js'
 
-/** Facts that ride on every reply of a sidecar. */
+/** Hints in every reply of a sidecar. */
 export interface ReplyHints {
   readonly server: BackendServerId
   /** Incarnation of the sidecar. */
   readonly incarnation: Incarnation
-  /** Incarnation of the backend server; its cache is new with each. */
+  /** Incarnation of the backend server; each starts with an empty cache. */
   readonly engineIncarnation: Incarnation
   readonly weightsVersion: WeightsVersion
   readonly configVersion: ConfigVersion
@@ -25,69 +25,69 @@
   readonly calls: number
   /** Expected wait before a new call starts, in ms. */
   readonly queueMs: number
-  /** Prompt tokens that the backend server computes in a millisecond. */
+  /** Prefill speed of the backend server, in prompt tokens per ms. */
   readonly prefillTokensPerMs: number
-  /** How long unused blocks last in the cache, in ms. */
+  /** Time that unused blocks stay in the cache, in ms. */
   readonly cacheLifetimeMs: number
-  /** Prompt tokens of this call that were cached; 0 where no prompt was given. */
+  /** Prompt tokens of this call that were cached; 0 if it has no prompt. */
   readonly matchedTokens: number
   readonly leaving: boolean
 }
 
-/** What a router holds of one backend server. */
+/** Latest hints of one backend server and what this router sent to it since. */
 export interface ServerHintState {
   readonly hints: ReplyHints
-  /** When the hints arrived, in ms of the monotonic clock. */
+  /** Time at which the hints arrived, in ms of the monotonic clock. */
   readonly at: number
-  /** Calls of this router that are in progress there. */
+  /** Calls of this router that were in progress at the server when the hints arrived. */
   inProgress: number
-  /** Estimated prompt tokens that this router sent since the hints arrived. */
+  /** Estimated prompt tokens that this router sent to the server since the hints arrived. */
   sentTokens: number
 }
 
-/** Hints about all backend servers, as one router has seen them. */
+/** Hints about all backend servers that one router has received. */
 export interface HintTable {
-  /** Finds the view of a server. */
+  /** Finds the hints of a server; undefined before its first reply. */
   find(server: BackendServerId): ServerHintState | undefined
   /** Records the hints of a reply. */
   record(hints: ReplyHints, now: number): void
-  /** Records how much of a chain a server holds: what lies beyond `matchedTokens` it does not. */
+  /** Records that a server caches the first `matchedTokens` tokens of a chain and nothing beyond them. */
   recordCachedPrefix(
     chain: PrefixChain,
     hints: ReplyHints,
     matchedTokens: number,
     now: number,
   ): void
-  /** Lists the servers that are remembered to hold any level of a chain. */
+  /** Lists the servers that were last known to cache any level of a chain. */
   listServersWithPrefix(chain: PrefixChain): ReadonlySet<BackendServerId>
-  /** Records that a server lost its cache or cannot be reached. */
+  /** Discards the hints of a server that cannot be reached. */
   remove(server: BackendServerId): void
   /** Records the start of a call. */
   addCall(server: BackendServerId, tokens: number): void
   /** Records the end of a call. */
   removeCall(server: BackendServerId): void
-  /** Counts the calls of this router in progress at a server. */
+  /** Counts the calls of this router that are in progress at a server. */
   countCalls(server: BackendServerId): number
-  /** Estimates how many prompt tokens are cached at a server; undefined where nothing is known. */
+  /** Estimates how many tokens of a prompt are cached at a server; undefined if unknown. */
   estimateCachedTokens(chain: PrefixChain, server: BackendServerId, now: number): number | undefined
 }
 
-interface CachedAt {
+interface CachedLevel {
   readonly engineIncarnation: Incarnation
-  readonly at: number
+  readonly recordedAt: number
 }
 
-type LevelEntry = Map<BackendServerId, CachedAt>
+type CachedLevelByServer = Map<BackendServerId, CachedLevel>
 
-/** Levels that a router remembers: about 100 bytes each with one or two servers. */
-const MAX_LEVELS_REMEMBERED = 100_000
+/** Prompt levels that a router keeps: about 100 bytes each, with one or two servers per level. */
+const DEFAULT_MAX_LEVELS = 100_000
 
 /** Options of {@link createHintTable}. */
 export interface HintTableOptions {
   /** @default 100000 */
   readonly maxLevels?: number
   /**
-   * Whether the table holds all there is to know, so that what is not in it is not cached.
+   * Whether the table has complete information about the caches, so that a prefix missing from it is not cached.
    * @default false
    */
   readonly isComplete?: boolean
@@ -95,52 +95,56 @@
 
 /** Creates an empty table. */
 export function createHintTable(options: HintTableOptions = {}): HintTable {
-  const maxLevels = options.maxLevels ?? MAX_LEVELS_REMEMBERED
-  const views = new Map<BackendServerId, ServerHintState>()
-  const calls = new Map<BackendServerId, number>()
-  const levels = new LRUCache<PrefixHash, LevelEntry>({ max: maxLevels })
+  const maxLevels = options.maxLevels ?? DEFAULT_MAX_LEVELS
+  const hintStates = new Map<BackendServerId, ServerHintState>()
+  const callCounts = new Map<BackendServerId, number>()
+  const cachedLevels = new LRUCache<PrefixHash, CachedLevelByServer>({ max: maxLevels })
 
   const recordLevel = (hash: PrefixHash, hints: ReplyHints, now: number) => {
-    const entry: LevelEntry = levels.get(hash) ?? new Map()
-    entry.set(hints.server, { engineIncarnation: hints.engineIncarnation, at: now })
-    levels.set(hash, entry)
+    const cachedByServer: CachedLevelByServer = cachedLevels.get(hash) ?? new Map()
+    cachedByServer.set(hints.server, {
+      engineIncarnation: hints.engineIncarnation,
+      recordedAt: now,
+    })
+    cachedLevels.set(hash, cachedByServer)
   }
 
   return {
-    find: (server) => views.get(server),
+    find: (server) => hintStates.get(server),
     record: (hints, now) => {
-      const inProgress = calls.get(hints.server) ?? 0
-      views.set(hints.server, { hints, at: now, inProgress, sentTokens: 0 })
+      const inProgress = callCounts.get(hints.server) ?? 0
+      hintStates.set(hints.server, { hints, at: now, inProgress, sentTokens: 0 })
     },
     recordCachedPrefix: (chain, hints, matchedTokens, now) => {
       for (const level of chain.levels) {
         if (level.tokens <= matchedTokens) recordLevel(level.hash, hints, now)
-        else levels.get(level.hash)?.delete(hints.server)
+        else cachedLevels.get(level.hash)?.delete(hints.server)
       }
     },
     listServersWithPrefix: (chain) => {
       const holders = new Set<BackendServerId>()
       for (const { hash } of chain.levels) {
-        for (const server of levels.get(hash)?.keys() ?? []) holders.add(server)
+        for (const server of cachedLevels.get(hash)?.keys() ?? []) holders.add(server)
       }
       return holders
     },
-    remove: (server) => void views.delete(server),
+    remove: (server) => void hintStates.delete(server),
     addCall: (server, tokens) => {
-      calls.set(server, (calls.get(server) ?? 0) + 1)
-      const view = views.get(server)
-      if (view) view.sentTokens += tokens
+      callCounts.set(server, (callCounts.get(server) ?? 0) + 1)
+      const state = hintStates.get(server)
+      if (state) state.sentTokens += tokens
     },
-    removeCall: (server) => void calls.set(server, Math.max(0, (calls.get(server) ?? 0) - 1)),
-    countCalls: (server) => calls.get(server) ?? 0,
+    removeCall: (server) =>
+      void callCounts.set(server, Math.max(0, (callCounts.get(server) ?? 0) - 1)),
+    countCalls: (server) => callCounts.get(server) ?? 0,
     estimateCachedTokens: (chain, server, now) => {
-      const view = views.get(server)
-      if (!view) return undefined
+      const state = hintStates.get(server)
+      if (!state) return undefined
       for (let index = chain.levels.length - 1; index >= 0; index -= 1) {
         const level = chain.levels[index]
-        const cached = levels.get(level.hash)?.get(server)
-        if (!cached || cached.engineIncarnation !== view.hints.engineIncarnation) continue
-        if (now - cached.at <= view.hints.cacheLifetimeMs) return level.tokens
+        const cached = cachedLevels.get(level.hash)?.get(server)
+        if (!cached || cached.engineIncarnation !== state.hints.engineIncarnation) continue
+        if (now - cached.recordedAt <= state.hints.cacheLifetimeMs) return level.tokens
       }
       return options.isComplete ? 0 : undefined
     },
--- a/packages/routing/src/prefixChain.ts
+++ b/packages/routing/src/prefixChain.ts
@@ -1,9 +1,9 @@
 /**
- * Hashes of prompt prefixes. The hash at the end of a block covers all bytes from the start of the
- * prompt, and is seeded with the scope: team or shared, model, adapter and weights version. Two
- * teams, or two versions of the weights, can therefore never meet in the cache.
+ * Hashes of prompt prefixes. The hash at the end of a block covers all bytes from the start of the prompt, and is seeded
+ * with the cache scope: team or shared, model, adapter and weights version. Cached blocks are therefore never reused
+ * across isolated teams or weights versions.
  *
- * A running digest is taken at the wanted places only, which is cheaper than hashing each block by itself
+ * One running digest is read only at the ends of levels, which is cheaper than hashing each block separately
  * (docs/design/routing.md).
  */
 import { toPrefixHash, type PrefixHash, type WeightsVersion } from '@spoolgate/core'
@@ -12,9 +12,9 @@
 
 const xxhash = await createXxhash()
 
-/** What cached blocks must share before one request may use what another computed. */
+/** Properties that two requests must have in common for one to reuse cached blocks of the other. */
 export interface CacheScope {
-  /** Team, or `shared` for teams that share on purpose. */
+  /** Team, or `shared` for teams that opted into sharing. */
   readonly owner: string
   readonly model: string
   /** Adapter loaded on top of the model; empty for none. */
@@ -22,28 +22,28 @@
   readonly weightsVersion: WeightsVersion
 }
 
-/** Sizes that turn bytes into tokens and blocks. */
+/** Sizes for converting bytes to tokens and blocks. */
 export interface BlockSizes {
   readonly blockTokens: number
   readonly bytesPerToken: number
 }
 
-/** The end of one level of a prompt. */
+/** Prefix of a prompt up to the end of one level. */
 export interface PrefixLevel {
   readonly hash: PrefixHash
-  /** Tokens from the start of the prompt that whole blocks cover. */
+  /** Tokens of the prefix, rounded down to complete blocks. */
   readonly tokens: number
 }
 
-/** The levels of a prompt, outermost first. */
+/** Hashed prefixes of a prompt, outermost level first. */
 export interface PrefixChain {
   readonly scope: string
   readonly levels: readonly PrefixLevel[]
-  /** Tokens of the whole prompt. */
+  /** Estimated tokens of the whole prompt. */
   readonly totalTokens: number
 }
 
-/** Formats a scope as the salt that engines take. */
+/** Formats a scope as the cache salt sent to engines. */
 export function formatCacheSalt(scope: CacheScope): string {
   return [scope.owner, scope.model, scope.adapter, scope.weightsVersion].join('/')
 }
@@ -53,7 +53,7 @@
   return xxhash.h32(text, seed)
 }
 
-/** Hashes the prefixes of `bytes` that end at `ends`, which must rise. */
+/** Hashes the prefixes of `bytes` that end at `ends`, which must be in ascending order. */
 export function hashPrefixes(scope: string, bytes: Buffer, ends: readonly number[]): PrefixHash[] {
   const digest = xxhash.create64(xxhash.h64(scope))
   let start = 0
@@ -64,12 +64,12 @@
   })
 }
 
-/** Counts the tokens of `bytes` bytes of text. */
+/** Estimates the token count of `bytes` bytes of text. */
 export function estimateTokenCount(bytes: number, sizes: BlockSizes): number {
   return Math.ceil(bytes / sizes.bytesPerToken)
 }
 
-/** Builds the chain of a prompt: one entry for each level that ends at least one block further. */
+/** Builds the chain of a prompt: one entry per level that adds at least one complete block. */
 export function buildPrefixChain(
   scope: CacheScope,
   prompt: PromptText,
@@ -77,13 +77,16 @@
 ): PrefixChain {
   const blockBytes = sizes.blockTokens * sizes.bytesPerToken
   const blockEnds = prompt.levelEnds.map((end) => Math.floor(end / blockBytes))
-  const counts = [...new Set(blockEnds)].filter((blocks) => blocks > 0)
+  const blockCounts = [...new Set(blockEnds)].filter((blocks) => blocks > 0)
   const salt = formatCacheSalt(scope)
   const hashes = hashPrefixes(
     salt,
     prompt.bytes,
-    counts.map((blocks) => blocks * blockBytes),
+    blockCounts.map((blocks) => blocks * blockBytes),
   )
-  const levels = hashes.map((hash, index) => ({ hash, tokens: counts[index] * sizes.blockTokens }))
+  const levels = hashes.map((hash, index) => ({
+    hash,
+    tokens: blockCounts[index] * sizes.blockTokens,
+  }))
   return { scope: salt, levels, totalTokens: estimateTokenCount(prompt.bytes.length, sizes) }
 }
--- a/packages/routing/src/promptText.ts
+++ b/packages/routing/src/promptText.ts
@@ -1,17 +1,17 @@
 /**
- * The prompt of a request as one run of bytes, with the places where its levels end: common
- * instructions, then the chart of accounts or the week's stock, then the trader or household.
- * Every message of a chat ends a level.
+ * Rendering of a request's prompt to bytes, with the offsets at which its levels end. Levels go from the most to the
+ * least widely shared: common instructions, then the chart of accounts or the week's stock, then the data of one trader
+ * or household. Every message of a chat ends a level.
  */
 import { SpoolgateError } from '@spoolgate/core'
 
-/** Largest number of levels that are distinguished; longer chats keep the outermost and the last. */
+/** Largest number of levels; longer chats keep the outermost levels and the end of the last. */
 export const MAX_PROMPT_LEVELS = 8
 
-/** A prompt as bytes. */
+/** A prompt rendered to bytes. */
 export interface PromptText {
   readonly bytes: Buffer
-  /** Offsets in bytes, rising; the last is the length of `bytes`. */
+  /** Byte offsets in ascending order; the last is the length of `bytes`. */
   readonly levelEnds: readonly number[]
 }
 
@@ -29,22 +29,22 @@
     .join('')
 }
 
-function toLevelEnds(ends: readonly number[]): number[] {
+function mergeMiddleLevels(ends: readonly number[]): number[] {
   if (ends.length <= MAX_PROMPT_LEVELS) return [...ends]
   return [...ends.slice(0, MAX_PROMPT_LEVELS - 1), ends[ends.length - 1]]
 }
 
 function renderMessages(messages: readonly ChatMessage[]): PromptText {
-  const parts = messages.map(({ role, content }) =>
+  const renderedMessages = messages.map(({ role, content }) =>
     Buffer.from(`<|${role}|>${formatContent(content)}`),
   )
   const ends: number[] = []
   let offset = 0
-  for (const part of parts) {
-    offset += part.length
+  for (const rendered of renderedMessages) {
+    offset += rendered.length
     ends.push(offset)
   }
-  return { bytes: Buffer.concat(parts), levelEnds: toLevelEnds(ends) }
+  return { bytes: Buffer.concat(renderedMessages), levelEnds: mergeMiddleLevels(ends) }
 }
 
 function isMessage(value: unknown): value is ChatMessage {
--- a/packages/routing/src/rendezvous.ts
+++ b/packages/routing/src/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
- * Weighted rendezvous hashing: every router ranks the backend servers of a key in the same order
- * without communication, and the loss of one moves only its own keys.
+ * Rendezvous hashing: all routers rank the backend servers for a key in the same order without communicating, and the
+ * removal of a server moves only the keys that it ranked first for.
  */
 import type { BackendServer } from '@spoolgate/config'
 import { LRUCache } from 'lru-cache'
@@ -8,16 +8,16 @@
 
 /** Ranks backend servers for keys. */
 export interface RendezvousHash {
-  /** Ranks `servers` for a key, best first. The list must be the same object while it is unchanged. */
+  /** Ranks `servers` for a key, best first. The list must be the same object while it is unchanged, or cached rankings are missed. */
   rank(key: string, servers: readonly BackendServer[]): readonly BackendServer[]
-  /** Finds the best of a few servers for a key; undefined for none. */
+  /** Finds the best of a few servers for a key, without caching; undefined if there are none. */
   findBest(key: string, servers: readonly BackendServer[]): BackendServer | undefined
 }
 
-/** Rankings that are remembered; hot prefixes are ranked once. */
-const MAX_REMEMBERED = 20_000
+/** Rankings that are cached, so that frequent prefixes are ranked only once. */
+const MAX_CACHED_RANKINGS = 20_000
 
-interface Remembered {
+interface CachedRanking {
   readonly servers: readonly BackendServer[]
   readonly ranked: readonly BackendServer[]
 }
@@ -29,15 +29,15 @@
   return scored.map(({ server }) => server)
 }
 
-/** Creates a ranking with a memory. */
+/** Creates a rendezvous hash with a cache of rankings. */
 export function createRendezvousHash(): RendezvousHash {
-  const remembered = new LRUCache<string, Remembered>({ max: MAX_REMEMBERED })
+  const rankingCache = new LRUCache<string, CachedRanking>({ max: MAX_CACHED_RANKINGS })
   return {
     rank: (key, servers) => {
-      const known = remembered.get(key)
-      if (known?.servers === servers) return known.ranked
+      const cached = rankingCache.get(key)
+      if (cached?.servers === servers) return cached.ranked
       const ranked = rankServers(key, servers)
-      remembered.set(key, { servers, ranked })
+      rankingCache.set(key, { servers, ranked })
       return ranked
     },
     findBest: (key, servers) => rankServers(key, servers)[0],
--- a/packages/routing/src/retryBudget.ts
+++ b/packages/routing/src/retryBudget.ts
@@ -1,27 +1,27 @@
 /**
- * Budget of retries: each first try earns a fraction of a retry. When many backend servers fail at
- * once, retries cannot multiply the load that made them fail.
+ * Retry budget: each first attempt earns a fraction of a retry. When many backend servers fail at once, retries cannot
+ * multiply the load that made them fail.
  */
 
-/** A budget that the tries of one router share. */
+/** Retry budget shared by all requests of one router. */
 export interface RetryBudget {
-  /** Notes a first try. */
+  /** Records the first attempt of a request, which earns a fraction of a retry. */
   recordFirstAttempt(): void
-  /** Takes one retry out of the budget; false when it is spent. */
+  /** Takes one retry from the budget; false if none is left. */
   takeRetry(): boolean
 }
 
-/** Retries that are allowed before any traffic, so that a quiet router can retry at all. */
-const MIN_BALANCE = 10
-/** Retries that can be saved up. */
+/** Retries available at the start, so that a router with little traffic can retry at all. */
+const INITIAL_BALANCE = 10
+/** Largest number of retries that can accumulate. */
 const MAX_BALANCE = 100
 
-/** Creates a budget that earns `ratio` retries for each first try. */
-export function createRetryBudget(findRatio: () => number): RetryBudget {
-  let balance = MIN_BALANCE
+/** Creates a budget that earns the current retry ratio, in retries, for each first attempt. */
+export function createRetryBudget(findRetryRatio: () => number): RetryBudget {
+  let balance = INITIAL_BALANCE
   return {
     recordFirstAttempt: () => {
-      balance = Math.min(MAX_BALANCE, balance + findRatio())
+      balance = Math.min(MAX_BALANCE, balance + findRetryRatio())
     },
     takeRetry: () => {
       if (balance < 1) return false
