--- a/packages/routing/src/backpressure.ts
+++ b/packages/routing/src/backpressure.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks servers that asked this process to back off or announced their shutdown. The caller passes in all times; this
- * module reads no clock and does no I/O. A signal applies only to the process that received it and to the incarnation of
- * the server that sent it.
+ * module reads no clock and does no I/O. A signal applies only to the process that received it, and to the incarnation
+ * of the server that sent it.
  */
 import type { BackendServerId } from '@spoolgate/core'
 import { LRUCache } from 'lru-cache'
--- a/packages/routing/src/ejection.ts
+++ b/packages/routing/src/ejection.ts
@@ -1,6 +1,6 @@
 /**
- * Outlier ejection: backend servers that repeatedly fail or time out receive no requests for a time that doubles with each
- * ejection. Only a limited share of the servers is ejected at once.
+ * Outlier ejection: backend servers that repeatedly fail or time out receive no requests for a time that doubles with
+ * each ejection. Only a limited share of the servers is ejected at once.
  */
 import type { BackendServerId } from '@spoolgate/core'
 
--- a/packages/routing/src/hints.ts
+++ b/packages/routing/src/hints.ts
@@ -1,6 +1,6 @@
 /**
- * Hints about the load and cache of a backend server, which its sidecar sends with every reply, and the router's table of
- * them. Hints only guide routing: the sidecar decides on admission when the call arrives.
+ * Hints about the load and cache of a backend server, which its sidecar sends with every reply, and the router's table
+ * of them. Hints only guide routing: the sidecar decides on admission when the call arrives.
  */
 import type {
   BackendServerId,
--- a/packages/routing/src/prefixChain.ts
+++ b/packages/routing/src/prefixChain.ts
@@ -1,7 +1,7 @@
 /**
- * Hashes of prompt prefixes. The hash at the end of a block covers all bytes from the start of the prompt, and is seeded
- * with the cache scope: team or shared, model, adapter and weights version. Cached blocks are therefore never reused
- * across isolated teams or weights versions.
+ * Hashes of prompt prefixes. The hash at the end of a block covers all bytes from the start of the prompt, and is
+ * seeded with the cache scope: team or shared, model, adapter and weights version. Cached blocks are therefore never
+ * reused across isolated teams or weights versions.
  *
  * One running digest is read only at the ends of levels, which is cheaper than hashing each block separately
  * (docs/design/routing.md).
--- a/packages/routing/src/rendezvous.ts
+++ b/packages/routing/src/rendezvous.ts
@@ -8,7 +8,10 @@
 
 /** Ranks backend servers for keys. */
 export interface RendezvousHash {
-  /** Ranks `servers` for a key, best first. The list must be the same object while it is unchanged, or cached rankings are missed. */
+  /**
+   * Ranks `servers` for a key, best first. An unchanged list must stay the same object, since rankings are cached by its
+   * identity.
+   */
   rank(key: string, servers: readonly BackendServer[]): readonly BackendServer[]
   /** Finds the best of a few servers for a key, without caching; undefined if there are none. */
   findBest(key: string, servers: readonly BackendServer[]): BackendServer | undefined
