--- a/packages/routing/src/rendezvous.ts
+++ b/packages/routing/src/rendezvous.ts
@@ -9,8 +9,8 @@
 /** Ranks backend servers for keys. */
 export interface RendezvousHash {
   /**
-   * Ranks `servers` for a key, best first. An unchanged list must stay the same object, since rankings are cached by its
-   * identity.
+   * Ranks `servers` for a key, best first. An unchanged list must stay the same object, since rankings are cached by
+   * its identity.
    */
   rank(key: string, servers: readonly BackendServer[]): readonly BackendServer[]
   /** Finds the best of a few servers for a key, without caching; undefined if there are none. */
