--- a/packages/routing/src/policies/expectedFirstToken.ts
+++ b/packages/routing/src/policies/expectedFirstToken.ts
@@ -66,7 +66,7 @@
 function listCandidates(input: PolicyInput, placement: Placement): BackendServer[] {
   const { servers, random, state } = input
   if (servers.length <= MAX_SCORED_SERVERS) return servers.filter(input.isAllowed)
-  const cachingServers = state.hints.listHolders(input.chain)
+  const cachingServers = state.hints.listServersWithPrefix(input.chain)
   const candidates = new Set(placement.subset)
   for (const server of servers) {
     if (candidates.size >= MAX_SCORED_SERVERS) break
@@ -112,7 +112,7 @@
 ): RankedCandidate {
   const hints = input.state.hints.find(server.id)?.hints
   const rate = hints?.prefillTokensPerMs ?? DEFAULT_PREFILL_RATE
-  const known = input.state.hints.estimateMatched(input.chain, server.id, input.now)
+  const known = input.state.hints.estimateCachedTokens(input.chain, server.id, input.now)
   const matched = known ?? estimateMatchedTokens(server, placement)
   const recomputeMs = (input.chain.totalTokens - matched) / rate
   const queueMs = estimateQueueMs(input, server, rate)
