--- a/packages/router/src/relay/declines.ts
+++ b/packages/router/src/relay/declines.ts
@@ -35,7 +35,7 @@
   const { decline, hints } = result
   const now = deps.timers.now()
   deps.state.hints.record(hints, now)
-  deps.state.hints.recordCached(context.chain, hints, hints.matchedTokens, now)
+  deps.state.hints.recordCachedPrefix(context.chain, hints, hints.matchedTokens, now)
   deps.instruments.declines.add(1, { reason: decline.declined })
   deps.decisions.recordAttempt(context.request, {
     server: server.id,
--- a/packages/router/src/relay/relayRepeatable.ts
+++ b/packages/router/src/relay/relayRepeatable.ts
@@ -104,7 +104,7 @@
         const now = deps.timers.now()
         hints.record(claimHints, now)
         // The server now computes the missing part too, so the next request with this prefix finds it cached.
-        hints.recordCached(context.chain, claimHints, Infinity, now)
+        hints.recordCachedPrefix(context.chain, claimHints, Infinity, now)
         const { instruments, decisions } = deps
         const labels = { team: context.team, policy: decision.policy }
         instruments.promptTokens.add(context.chain.totalTokens, labels)
@@ -182,7 +182,7 @@
 }
 
 async function relayAttempts(deps: RelayDependencies, context: CallContext, state: RelayState) {
-  deps.budget.addFirstTry()
+  deps.budget.recordFirstAttempt()
   for (;;) {
     const fleet = deps.config.current()
     if (!fleet) throw new SpoolgateError('controlUnavailable', 'no configuration yet; try later')
