--- a/packages/router/src/__tests__/limitSimulation.ts
+++ b/packages/router/src/__tests__/limitSimulation.ts
@@ -56,15 +56,15 @@
 }
 
 const STEP_MS = 5
-const ANSWER_MS = 60
-const POLL_MS = 100
-const POLL_MS_PER_ROUTER = 2
-const ROUTER_LIFE_MS = 3_000
+const RESPONSE_DELAY_MS = 60
+const MIN_POLL_INTERVAL_MS = 100
+const POLL_INTERVAL_PER_ROUTER_MS = 2
+const ROUTER_TTL_MS = 3_000
 const FIRST_TERM = 1
 /** The users' rule: the window, from when on it counts, and which routers count. */
 const WINDOW_MS = 4_000
-const COUNTED_AFTER_MS = 3_000
-const INFORMED_AFTER_MS = 500
+const SETTLING_MS = 3_000
+const ROUTER_SETTLING_MS = 500
 const ALLOWED_RATIO = 1.5
 const ALLOWED_BURST = 5
 const MS_PER_S = 1_000
@@ -78,7 +78,7 @@
 interface SimulatedRouter {
   readonly name: string
   view: FleetView
-  readonly parts: ReturnType<typeof createRankingContext>
+  readonly context: ReturnType<typeof createRankingContext>
   readonly limits: ReturnType<typeof createServerLimits>
   term: number
   limitsSeen: number
@@ -96,11 +96,11 @@
   private readonly timers = createManualTimerService()
   private readonly random
   private loads
-  private limitParts
+  private allocator
   private term = FIRST_TERM
   private readonly servers: readonly RegisteredServer[]
   private readonly routers: SimulatedRouter[]
-  private readonly named = new Map<BackendServerId, number>()
+  private readonly announcedLimits = new Map<BackendServerId, number>()
   private readonly arrivals = new Map<BackendServerId, Arrival[]>()
   private restarts = 0
   private sent = 0
@@ -109,7 +109,7 @@
   constructor(private readonly options: LimitSimulationOptions) {
     this.random = createRandomSource(options.seed)
     this.loads = this.createLoads()
-    this.limitParts = this.createParts()
+    this.allocator = this.createAllocator()
     this.servers = Array.from({ length: options.servers }, (_, index) =>
       createEngineServer(`s${index}`),
     )
@@ -117,10 +117,10 @@
   }
 
   private createLoads() {
-    return createLoadAggregator({ timers: this.timers, routerLifeMs: ROUTER_LIFE_MS })
+    return createLoadAggregator({ timers: this.timers, routerLifeMs: ROUTER_TTL_MS })
   }
 
-  private createParts() {
+  private createAllocator() {
     return createRateLimitAllocator({
       timers: this.timers,
       listRouters: () => this.loads.listBusyRouters(),
@@ -131,12 +131,12 @@
   private createRouter(index: number): SimulatedRouter {
     const { options, timers } = this
     this.restarts += 1
-    const parts = createRankingContext(timers, options.seed + this.restarts)
+    const context = createRankingContext(timers, options.seed + this.restarts)
     return {
       name: `r${index}`,
       view: buildView(this.servers, {}),
-      parts,
-      limits: parts.limits,
+      context,
+      limits: context.limits,
       term: -1,
       limitsSeen: -1,
       isRunning: true,
@@ -144,7 +144,7 @@
     }
   }
 
-  private isLeaderAway(): boolean {
+  private isLeaderless(): boolean {
     const { newLeaderAtMs = Infinity, electionMs = 0 } = this.options
     const now = this.timers.now()
     return now < newLeaderAtMs && now >= newLeaderAtMs - electionMs
@@ -153,18 +153,20 @@
   private poll(router: SimulatedRouter): void {
     const { timers, options, random } = this
     if (!router.isRunning) return
-    const askedAt = timers.now()
-    const waitMs = Math.max(POLL_MS, options.routers * POLL_MS_PER_ROUTER) * (0.5 + random.next())
-    if (this.isLeaderAway()) {
+    const requestedAt = timers.now()
+    const waitMs =
+      Math.max(MIN_POLL_INTERVAL_MS, options.routers * POLL_INTERVAL_PER_ROUTER_MS) *
+      (0.5 + random.next())
+    if (this.isLeaderless()) {
       timers.after(waitMs).subscribe(() => this.poll(router))
       return
     }
     const { term } = this
-    const observed = router.limits.listUnreported(router.term, askedAt)
-    this.loads.record(router.name, router.parts.serverStats.listLoads())
-    this.limitParts.record(observed.reports)
+    const observed = router.limits.listUnreported(router.term, requestedAt)
+    this.loads.record(router.name, router.context.serverStats.listLoads())
+    this.allocator.record(observed.reports)
     timers.after(waitMs).subscribe(() => {
-      if (term === this.term && router.isRunning) this.applyReply(router, observed, askedAt)
+      if (term === this.term && router.isRunning) this.applyReply(router, observed, requestedAt)
       this.poll(router)
     })
   }
@@ -172,13 +174,13 @@
   private applyReply(
     router: SimulatedRouter,
     observed: ReturnType<SimulatedRouter['limits']['listUnreported']>,
-    askedAt: number,
+    requestedAt: number,
   ): void {
-    const { term, limitParts } = this
+    const { term, allocator } = this
     if (observed.term === term) router.limits.recordAcknowledged(observed)
-    const revision = limitParts.revision()
+    const revision = allocator.revision()
     if (router.term !== term || router.limitsSeen !== revision) {
-      router.limits.applyUpdate(limitParts.buildUpdate(router.name), askedAt, this.timers.now())
+      router.limits.applyUpdate(allocator.buildUpdate(router.name), requestedAt, this.timers.now())
     }
     Object.assign(router, { term, limitsSeen: revision })
     router.view = { ...router.view, loads: this.loads.sumExcept(router.name) }
@@ -186,47 +188,47 @@
 
   private send(router: SimulatedRouter): void {
     const { timers } = this
-    const { parts, view, limits, informedAt } = router
+    const { context, view, limits, informedAt } = router
     const now = timers.now()
     const input = { view, group: GROUP, prompt: PROMPT, formatScope: () => '', hall: 'h', now }
-    const best = rankServers(parts, { ...input, excluded: new Set() }).at(0)
+    const best = rankServers(context, { ...input, excluded: new Set() }).at(0)
     if (!best) {
       this.rejected += 1
       return
     }
     const { id } = best.server
-    const ticket = parts.serverStats.startCall(id, best.uncachedTokens)
+    const trackedCall = context.serverStats.startCall(id, best.uncachedTokens)
     limits.recordSend(id, now)
-    const isCounted = now >= (informedAt.get(id) ?? Infinity) + INFORMED_AFTER_MS
+    const isCounted = now >= (informedAt.get(id) ?? Infinity) + ROUTER_SETTLING_MS
     this.arrivals.set(id, [...(this.arrivals.get(id) ?? []), { at: now, isCounted }])
-    timers.after(ANSWER_MS).subscribe(() => {
-      const perSecond = this.named.get(id)
+    timers.after(RESPONSE_DELAY_MS).subscribe(() => {
+      const perSecond = this.announcedLimits.get(id)
       if (perSecond === undefined) informedAt.delete(id)
       else if (!informedAt.has(id)) informedAt.set(id, timers.now())
       limits.recordResponse(id, { perSecond, sentAt: now }, timers.now())
-      ticket.recordFirstChunk()
+      trackedCall.recordFirstChunk()
     })
-    timers.after(this.options.processingMs ?? 100).subscribe(() => ticket.finish('ok'))
+    timers.after(this.options.processingMs ?? 100).subscribe(() => trackedCall.finish('ok'))
   }
 
   private applyEvents(): void {
     const { options, timers } = this
     const now = timers.now()
-    const isNow = (at: number | undefined) => at !== undefined && at >= now && at < now + STEP_MS
+    const isDue = (at: number | undefined) => at !== undefined && at >= now && at < now + STEP_MS
     for (const { atMs, servers, perSecond } of options.changes) {
-      if (!isNow(atMs)) continue
+      if (!isDue(atMs)) continue
       for (const { id } of this.servers.slice(0, servers)) {
-        if (perSecond === undefined) this.named.delete(id)
-        else this.named.set(id, perSecond)
+        if (perSecond === undefined) this.announcedLimits.delete(id)
+        else this.announcedLimits.set(id, perSecond)
       }
     }
-    if (isNow(options.newLeaderAtMs)) {
+    if (isDue(options.newLeaderAtMs)) {
       this.term += 1
       this.loads = this.createLoads()
-      this.limitParts = this.createParts()
+      this.allocator = this.createAllocator()
     }
     for (const at of options.restartsAtMs ?? []) {
-      if (isNow(at)) this.restartRouter()
+      if (isDue(at)) this.restartRouter()
     }
   }
 
@@ -248,36 +250,36 @@
     })
   }
 
-  private findWorstWindow(): number {
-    const excesses = this.listLimits().map(({ arrivals, perSecond, atMs, untilMs }) => {
+  private findMaxWindowRatio(): number {
+    const ratios = this.listLimits().map(({ arrivals, perSecond, atMs, untilMs }) => {
       if (perSecond === undefined) return 0
-      const from = atMs + COUNTED_AFTER_MS
+      const from = atMs + SETTLING_MS
       const times = arrivals
         .filter(({ at, isCounted }) => isCounted && at >= from && at < untilMs)
         .map(({ at }) => at)
       const allowed = ALLOWED_RATIO * perSecond * (WINDOW_MS / MS_PER_S) + ALLOWED_BURST
       let first = 0
-      let most = 0
+      let maxCount = 0
       for (const [index, at] of times.entries()) {
         while (times[first] <= at - WINDOW_MS) first += 1
-        most = Math.max(most, index - first + 1)
+        maxCount = Math.max(maxCount, index - first + 1)
       }
-      return most / allowed
+      return maxCount / allowed
     })
-    return Math.max(0, ...excesses)
+    return Math.max(0, ...ratios)
   }
 
-  private findLeastUsed(): number {
-    const used = this.listLimits().map(({ arrivals, perSecond, atMs, untilMs }) => {
+  private findMinUsedRatio(): number {
+    const ratios = this.listLimits().map(({ arrivals, perSecond, atMs, untilMs }) => {
       if (perSecond === undefined || perSecond === 0) return Infinity
-      const from = atMs + COUNTED_AFTER_MS
+      const from = atMs + SETTLING_MS
       const count = arrivals.filter(({ at }) => at >= from && at < untilMs).length
       return count / (((untilMs - from) / MS_PER_S) * perSecond)
     })
-    return Math.min(...used)
+    return Math.min(...ratios)
   }
 
-  private findLeastShareAfter(): number {
+  private findMinRecoveredRatio(): number {
     const { requestsPerSecond, servers } = this.options
     const shares = this.listLimits().map(({ arrivals, perSecond, atMs, untilMs }) => {
       if (perSecond !== undefined || untilMs < atMs + 6_000) return Infinity
@@ -304,9 +306,9 @@
     return {
       sent: this.sent,
       rejected: this.rejected,
-      maxWindowRatio: this.findWorstWindow(),
-      minUsedRatio: this.findLeastUsed(),
-      minRecoveredRatio: this.findLeastShareAfter(),
+      maxWindowRatio: this.findMaxWindowRatio(),
+      minUsedRatio: this.findMinUsedRatio(),
+      minRecoveredRatio: this.findMinRecoveredRatio(),
     }
   }
 }
--- a/packages/router/src/__tests__/quotaCredits.spec.ts
+++ b/packages/router/src/__tests__/quotaCredits.spec.ts
@@ -17,7 +17,7 @@
 const QUOTA: TeamQuota = { unit: 'tokens', perSecond: 1_000, burst: 1_000, uncountedTokens: 1 }
 /** Each router may overdraw by one request while a team has room. */
 const TOLERANCE = { ratio: 0.1, slack: ROUTERS * MAX_COST, windowMs: 8_000 }
-const ALLOWED =
+const MAX_WINDOW_COST =
   (QUOTA.perSecond * 8 + QUOTA.burst) * (1 + TOLERANCE.ratio) + TOLERANCE.slack + MAX_COST
 
 type Step =
@@ -35,49 +35,50 @@
   | { readonly kind: 'newTerm' }
 
 /** A leader and routers whose messages are lost, doubled and late. */
-function createWorld() {
+function createSimulation() {
   const timers = createManualTimerService()
   const buckets = createQuotaBuckets({ timers, findQuota: () => QUOTA, tolerance: TOLERANCE })
   const random = createRandomSource(1)
   let term = 1
-  let lives = 0
+  let incarnations = 0
   buckets.reset(term)
   const createRouter = (router: number) => {
-    lives += 1
-    const life = `l${lives}`
+    incarnations += 1
+    const incarnation = `l${incarnations}`
     return createQuotaCredits({
       router: `r${router}`,
-      incarnation: life,
+      incarnation,
       countRouters: () => ROUTERS,
       random,
     })
   }
   const routers = Array.from({ length: ROUTERS }, (_, router) => createRouter(router))
-  const ran: { readonly at: number; readonly cost: number }[] = []
-  const late: (() => void)[] = []
+  const admitted: { readonly at: number; readonly cost: number }[] = []
+  const delayed: (() => void)[] = []
   const exchange = (router: number, fate: string, waiting: number) => {
     const credits = routers[router]
-    const askedAt = timers.promiseNow()
-    const uses = waiting > 0 ? [{ team: TEAM, quota: QUOTA, cost: waiting }] : []
-    const report: QuotaReport = credits.buildReport(uses, askedAt)
+    const requestedAt = timers.promiseNow()
+    const charges = waiting > 0 ? [{ team: TEAM, quota: QUOTA, cost: waiting }] : []
+    const report: QuotaReport = credits.buildReport(charges, requestedAt)
     if (fate === 'reportLost') return
     if (fate === 'reportLate') {
-      late.push(() => credits.applyGrants(buckets.applyReport(report), askedAt))
+      delayed.push(() => credits.applyGrants(buckets.applyReport(report), requestedAt))
       return
     }
     const grants: QuotaGrants = buckets.applyReport(report)
     if (fate === 'doubled') buckets.applyReport(report)
     if (fate === 'grantsLost') return
-    if (fate === 'grantsLate') late.push(() => credits.applyGrants(grants, askedAt))
-    else credits.applyGrants(grants, askedAt)
+    if (fate === 'grantsLate') delayed.push(() => credits.applyGrants(grants, requestedAt))
+    else credits.applyGrants(grants, requestedAt)
   }
   const handlers: { [Kind in Step['kind']]: (step: Extract<Step, { kind: Kind }>) => void } = {
     use: ({ router, cost }) => {
-      const use = { team: TEAM, quota: QUOTA, cost }
-      if (routers[router].take(use, timers.promiseNow())) ran.push({ at: timers.now(), cost })
+      const charge = { team: TEAM, quota: QUOTA, cost }
+      if (routers[router].take(charge, timers.promiseNow()))
+        admitted.push({ at: timers.now(), cost })
     },
     giveBack: () => {
-      const last = ran.pop()
+      const last = admitted.pop()
       if (last) routers[0].refund({ team: TEAM, quota: QUOTA, cost: last.cost })
     },
     report: ({ router, fate, cost }) => exchange(router, fate, cost),
@@ -86,7 +87,7 @@
     },
     wait: ({ ms }) => {
       timers.advance(ms)
-      for (const deliver of late.splice(0, ms % 3)) deliver()
+      for (const deliver of delayed.splice(0, ms % 3)) deliver()
     },
     suspend: ({ ms }) => timers.suspend(ms),
     newTerm: () => {
@@ -96,13 +97,16 @@
     },
   }
   const run = (step: Step) => (handlers[step.kind] as (step: Step) => void)(step)
-  return { run, ran, buckets }
+  return { run, ran: admitted, buckets }
 }
 
-function findWorstWindow(ran: readonly { readonly at: number; readonly cost: number }[]): number {
-  const sums = ran.map(({ at }) =>
-    ran.reduce(
-      (sum, one) => (one.at <= at && one.at > at - TOLERANCE.windowMs ? sum + one.cost : sum),
+function findMaxWindowCost(
+  admitted: readonly { readonly at: number; readonly cost: number }[],
+): number {
+  const sums = admitted.map(({ at }) =>
+    admitted.reduce(
+      (sum, other) =>
+        other.at <= at && other.at > at - TOLERANCE.windowMs ? sum + other.cost : sum,
       0,
     ),
   )
@@ -146,9 +150,9 @@
   it('are never used beyond what the tolerance allows: messages lost, doubled, late, restarts, new leaders', () => {
     fc.assert(
       fc.property(fc.array(STEP, { minLength: 50, maxLength: 600 }), (steps) => {
-        const world = createWorld()
-        for (const step of steps) world.run(step)
-        expect(findWorstWindow(world.ran)).to.be.at.most(ALLOWED)
+        const simulation = createSimulation()
+        for (const step of steps) simulation.run(step)
+        expect(findMaxWindowCost(simulation.ran)).to.be.at.most(MAX_WINDOW_COST)
       }),
       { seed: 52, numRuns: 300 },
     )
@@ -157,15 +161,15 @@
   it('return whole: a bucket is full again once nobody uses it', () => {
     fc.assert(
       fc.property(fc.array(fc.oneof(USE, REPORT, WAIT), { maxLength: 200 }), (steps) => {
-        const world = createWorld()
-        for (const step of steps) world.run(step)
+        const simulation = createSimulation()
+        for (const step of steps) simulation.run(step)
         for (let round = 0; round < 200; round += 1) {
-          world.run({ kind: 'wait', ms: 99 })
+          simulation.run({ kind: 'wait', ms: 99 })
           for (let index = 0; index < ROUTERS; index += 1) {
-            world.run({ kind: 'report', router: index, fate: 'arrives', cost: 0 })
+            simulation.run({ kind: 'report', router: index, fate: 'arrives', cost: 0 })
           }
         }
-        const [status] = world.buckets.list()
+        const [status] = simulation.buckets.list()
         if (status) expect(status.level + status.held).to.be.at.least(QUOTA.burst - 1)
       }),
       { seed: 52, numRuns: 100 },
@@ -179,13 +183,13 @@
       countRouters: () => 1_000,
       random: createRandomSource(1),
     })
-    const use = { team: TEAM, quota: QUOTA, cost: 500 }
-    expect(credits.take(use, 0)).to.equal(false)
+    const charge = { team: TEAM, quota: QUOTA, cost: 500 }
+    expect(credits.take(charge, 0)).to.equal(false)
     const key = formatQuotaKey(TEAM, QUOTA.unit)
     const grants = [{ key, granted: 900, retryAfterMs: 0 }]
     credits.applyGrants({ term: 1, sequence: 1, grants, scarce: [key] }, 0)
-    expect(credits.findStatus(use, 0).held).to.equal(900)
-    expect(credits.take(use, CREDIT_TTL_MS + 1)).to.equal(false)
+    expect(credits.findStatus(charge, 0).held).to.equal(900)
+    expect(credits.take(charge, CREDIT_TTL_MS + 1)).to.equal(false)
   })
 
   it('of one unit are worth nothing in another: a limit in tokens becomes one in requests', () => {
@@ -206,12 +210,12 @@
   })
 
   it('refuse what a lost leader did not grant beyond an even share, and nothing is saved up', () => {
-    const world = createWorld()
-    for (let step = 0; step < 200; step += 1) world.run({ kind: 'use', router: 0, cost: 50 })
-    const first = world.ran.length
-    world.run({ kind: 'wait', ms: 60_000 })
-    for (let step = 0; step < 200; step += 1) world.run({ kind: 'use', router: 0, cost: 50 })
+    const simulation = createSimulation()
+    for (let step = 0; step < 200; step += 1) simulation.run({ kind: 'use', router: 0, cost: 50 })
+    const first = simulation.ran.length
+    simulation.run({ kind: 'wait', ms: 60_000 })
+    for (let step = 0; step < 200; step += 1) simulation.run({ kind: 'use', router: 0, cost: 50 })
     const share = QUOTA.perSecond / ROUTERS
-    expect((world.ran.length - first) * 50).to.be.at.most(share + 50)
+    expect((simulation.ran.length - first) * 50).to.be.at.most(share + 50)
   })
 })
--- a/packages/router/src/__tests__/quotaSimulation.spec.ts
+++ b/packages/router/src/__tests__/quotaSimulation.spec.ts
@@ -16,21 +16,21 @@
 
     for (const spread of ['even', 'few', 'moving'] as const) {
       it(`is kept and used up: ${routers} routers, spread ${spread}`, async () => {
-        const { maxToleratedRatio: worstAllowed, usedRatio: used } = await run({
+        const { maxToleratedRatio, usedRatio } = await run({
           demand: 2,
           spread,
         })
         const central = await run({ demand: 2, spread, strategy: 'central' })
-        expect(worstAllowed).to.be.at.most(1)
-        expect(used).to.be.at.least((routers <= 70 ? USED_RATIO : 0.9) * central.usedRatio)
+        expect(maxToleratedRatio).to.be.at.most(1)
+        expect(usedRatio).to.be.at.least((routers <= 70 ? USED_RATIO : 0.9) * central.usedRatio)
       })
 
       // Reports of a very large fleet are too old for this.
       for (const demand of routers <= 70 ? [0.5, 0.85] : []) {
         it(`refuses no more at ${demand} of it than one bucket would: ${routers} routers, spread ${spread}`, async () => {
-          const { refusedRatio: refused } = await run({ demand, spread })
+          const { refusedRatio } = await run({ demand, spread })
           const central = await run({ demand, spread, strategy: 'central' })
-          expect(refused).to.be.at.most(central.refusedRatio + REFUSED_RATIO)
+          expect(refusedRatio).to.be.at.most(central.refusedRatio + REFUSED_RATIO)
         })
       }
     }
@@ -48,8 +48,8 @@
     } as const
     for (const [title, faults] of Object.entries(FAULTS)) {
       it(`is kept beside ${title}: ${routers} routers`, async () => {
-        const { maxToleratedRatio: worstAllowed } = await run({ demand: 2, faults })
-        expect(worstAllowed).to.be.at.most(1)
+        const { maxToleratedRatio } = await run({ demand: 2, faults })
+        expect(maxToleratedRatio).to.be.at.most(1)
       })
     }
   }
@@ -57,39 +57,39 @@
   for (const routers of [6, 33, 70, 410]) {
     for (const kind of ['noLeader', 'cut', 'restart'] as const) {
       it(`is kept where the demand rises as routers lose the leader (${kind}): ${routers} routers`, async () => {
-        const shown = await runQuotaSimulation({
+        const result = await runQuotaSimulation({
           ...BASE,
           routers,
           demand: 0.7,
           surge: { atMs: 8_000, durationMs: 6_000, demand: 6 },
           faults: [{ kind, atMs: 8_000, durationMs: kind === 'restart' ? 1 : 3_500 }],
         })
-        expect(shown.maxToleratedRatio).to.be.at.most(1)
+        expect(result.maxToleratedRatio).to.be.at.most(1)
       })
     }
   }
 
   it('is kept within a window after it was lowered far below the demand', async () => {
     const quota = { ...QUOTA, perSecond: 20_000, burst: 20_000 }
-    const shown = await runQuotaSimulation({
+    const result = await runQuotaSimulation({
       ...BASE,
       routers: 33,
       quota,
       demand: 8,
       quotaChange: { atMs: 0, quota },
     })
-    expect(shown.maxToleratedRatio).to.be.at.most(1)
-    expect(shown.usedRatio).to.be.at.least(USED_RATIO)
+    expect(result.maxToleratedRatio).to.be.at.most(1)
+    expect(result.usedRatio).to.be.at.least(USED_RATIO)
   })
 
   it('shows a way that does not keep it', async () => {
-    const shown = await runQuotaSimulation({
+    const result = await runQuotaSimulation({
       ...BASE,
       routers: 410,
       demand: 2,
       strategy: 'evenShares',
       faults: [{ kind: 'restart', atMs: 8_000, durationMs: 1 }],
     })
-    expect(shown.maxToleratedRatio).to.be.above(1)
+    expect(result.maxToleratedRatio).to.be.above(1)
   })
 })
--- a/packages/router/src/__tests__/quotaSimulation.ts
+++ b/packages/router/src/__tests__/quotaSimulation.ts
@@ -61,7 +61,7 @@
 }
 
 const WARM_UP_MS = 1_000
-const DELAY_MS = 2
+const NETWORK_DELAY_MS = 2
 const FIRST_POLL_MS = 100
 const MS_PER_S = 1_000
 /** Routers that callers reach where they are spread over few. */
@@ -78,19 +78,22 @@
   return (first + random.nextInt(few)) % routers
 }
 
-function findWorst(runs: readonly { at: number; cost: number }[], windowMs: number): number {
-  let worst = 0
+function findMaxWindowCost(
+  admitted: readonly { at: number; cost: number }[],
+  windowMs: number,
+): number {
+  let maxWindowCost = 0
   let sum = 0
   let first = 0
-  for (const { at, cost } of runs) {
+  for (const { at, cost } of admitted) {
     sum += cost
-    while (runs[first].at <= at - windowMs) {
-      sum -= runs[first].cost
+    while (admitted[first].at <= at - windowMs) {
+      sum -= admitted[first].cost
       first += 1
     }
-    worst = Math.max(worst, sum)
+    maxWindowCost = Math.max(maxWindowCost, sum)
   }
-  return worst
+  return maxWindowCost
 }
 
 /** Runs one simulation; the same options give the same figures. */
@@ -103,55 +106,58 @@
   const { at, timers } = clock
   const findQuota = () =>
     quotaChange && timers.now() >= quotaChange.atMs ? quotaChange.quota : options.quota
-  const isHit = (kind: SimulatedFault['kind'], router: number) =>
+  const isFaultActive = (kind: SimulatedFault['kind'], router: number) =>
     faults.some((fault) => {
-      const isNow = timers.now() >= fault.atMs && timers.now() < fault.atMs + fault.durationMs
-      return fault.kind === kind && isNow && router < (fault.routers ?? routers)
+      const isInProgress =
+        timers.now() >= fault.atMs && timers.now() < fault.atMs + fault.durationMs
+      return fault.kind === kind && isInProgress && router < (fault.routers ?? routers)
     })
   const isReachable = (router: number) =>
-    !isHit('noLeader', router) && !isHit('cut', router) && !isHit('frozen', router)
+    !isFaultActive('noLeader', router) &&
+    !isFaultActive('cut', router) &&
+    !isFaultActive('frozen', router)
   const strategy = STRATEGIES[options.strategy ?? 'credits']({
-    clock: clock,
+    clock,
     options,
     findQuota,
     isReachable,
   })
-  for (const { kind, atMs, durationMs: faultMs, routers: hit = routers } of faults) {
+  for (const { kind, atMs, durationMs: faultMs, routers: affected = routers } of faults) {
     if (kind === 'noLeader') at(atMs + faultMs, strategy.newTerm)
     if (kind !== 'restart') continue
-    for (let router = 0; router < hit; router += 1) at(atMs, () => strategy.restart(router))
+    for (let router = 0; router < affected; router += 1) at(atMs, () => strategy.restart(router))
     at(atMs, strategy.newTerm)
   }
   const poll = (router: number) => {
     strategy.poll(router)
-    at(timers.now() + findPollIntervalMs(options) + 2 * DELAY_MS, () => poll(router))
+    at(timers.now() + findPollIntervalMs(options) + 2 * NETWORK_DELAY_MS, () => poll(router))
   }
   for (let router = 0; router < routers; router += 1)
     at(1 + random.nextInt(FIRST_POLL_MS), () => poll(router))
 
-  const [least, most] = costs
-  const drawCost = () => Math.round(least * (most / least) ** random.next())
-  const meanCost = most === least ? least : (most - least) / Math.log(most / least)
+  const [minCost, maxCost] = costs
+  const drawCost = () => Math.round(minCost * (maxCost / minCost) ** random.next())
+  const meanCost = maxCost === minCost ? minCost : (maxCost - minCost) / Math.log(maxCost / minCost)
   const findDemand = () => {
     const { surge } = options
-    const isSurge =
+    const isSurging =
       surge && timers.now() >= surge.atMs && timers.now() < surge.atMs + surge.durationMs
-    return isSurge ? surge.demand : options.demand
+    return isSurging ? surge.demand : options.demand
   }
   const findGapMs = () => (meanCost / (options.quota.perSecond * findDemand())) * MS_PER_S
-  const runs: { at: number; cost: number }[] = []
-  let asked = 0
-  let refused = 0
+  const admitted: { at: number; cost: number }[] = []
+  let demandedCost = 0
+  let refusedCost = 0
   const serve = async (router: number, cost: number) => {
-    asked += cost
-    if (await strategy.admit(router, cost)) runs.push({ at: timers.now(), cost })
-    else refused += cost
+    demandedCost += cost
+    if (await strategy.admit(router, cost)) admitted.push({ at: timers.now(), cost })
+    else refusedCost += cost
   }
   const startCall = (router: number) => {
     const cost = drawCost()
     // A frozen router takes what arrived once it wakes.
     const [freeze] = faults.filter(({ kind }) => kind === 'frozen')
-    if (freeze && isHit('frozen', router))
+    if (freeze && isFaultActive('frozen', router))
       at(freeze.atMs + freeze.durationMs, () => void serve(router, cost))
     else void serve(router, cost)
   }
@@ -163,16 +169,16 @@
   at(WARM_UP_MS, () => arrive(WARM_UP_MS))
   await clock.run(WARM_UP_MS + durationMs)
 
-  const ran = runs.reduce((sum, { cost }) => sum + cost, 0)
+  const admittedCost = admitted.reduce((sum, { cost }) => sum + cost, 0)
   const { perSecond, burst } = options.quota
-  const worst = findWorst(runs, TOLERANCE.windowMs)
-  const inWindow = (perSecond * TOLERANCE.windowMs) / MS_PER_S + burst
+  const maxWindowCost = findMaxWindowCost(admitted, TOLERANCE.windowMs)
+  const allowedCost = (perSecond * TOLERANCE.windowMs) / MS_PER_S + burst
   const seconds = (WARM_UP_MS + durationMs) / MS_PER_S
   return {
-    maxWindowRatio: worst / inWindow,
-    maxToleratedRatio: worst / (inWindow * (1 + TOLERANCE.ratio) + TOLERANCE.slack),
-    usedRatio: ran / ((perSecond * durationMs) / MS_PER_S + burst),
-    refusedRatio: refused / asked,
+    maxWindowRatio: maxWindowCost / allowedCost,
+    maxToleratedRatio: maxWindowCost / (allowedCost * (1 + TOLERANCE.ratio) + TOLERANCE.slack),
+    usedRatio: admittedCost / ((perSecond * durationMs) / MS_PER_S + burst),
+    refusedRatio: refusedCost / demandedCost,
     messagesPerS: strategy.messages() / seconds / routers,
     bytesPerS: strategy.bytes() / seconds / routers,
   }
--- a/packages/router/src/__tests__/quotaStrategies.ts
+++ b/packages/router/src/__tests__/quotaStrategies.ts
@@ -22,9 +22,9 @@
 
 /** Tolerance as a deployment may state it. */
 export const TOLERANCE = { ratio: 0.1, slack: 110_000, windowMs: 8_000 }
-const DELAY_MS = 2
-const POLL_MS = 100
-const POLL_PER_ROUTER_MS = 2
+const NETWORK_DELAY_MS = 2
+const MIN_POLL_INTERVAL_MS = 100
+const POLL_INTERVAL_PER_ROUTER_MS = 2
 const MS_PER_S = 1_000
 const TEAM = toTeamId('t')
 
@@ -87,13 +87,13 @@
   readonly isReachable: (router: number) => boolean
 }
 
-function createCreditsWay({
-  clock: wheel,
+function createCreditStrategy({
+  clock,
   options,
   findQuota,
   isReachable,
 }: StrategyContext): SimulatedAdmission {
-  const { at, timers } = wheel
+  const { at, timers } = clock
   let term = 1
   let messages = 0
   let bytes = 0
@@ -111,25 +111,25 @@
   ) => {
     messages += 1
     count(report)
-    at(timers.now() + DELAY_MS, () => {
+    at(timers.now() + NETWORK_DELAY_MS, () => {
       if (!isReachable(router)) return
       buckets.applyReport(report)
       at(timers.now() + heldMs, () => {
         const grants = buckets.listGrants(report)
         count(grants)
-        at(timers.now() + DELAY_MS, () => {
+        at(timers.now() + NETWORK_DELAY_MS, () => {
           if (isReachable(router)) onGrants(grants as never)
         })
       })
     })
   }
   const random = createRandomSource(1)
-  let lives = 0
+  let incarnations = 0
   const createRouter = (router: number) => {
-    lives += 1
+    incarnations += 1
     const credits = createQuotaCredits({
       router: `r${router}`,
-      incarnation: `l${lives}`,
+      incarnation: `l${incarnations}`,
       countRouters: () => options.routers,
       random,
     })
@@ -159,12 +159,12 @@
     },
     poll: (router) => {
       const { credits } = routers[router]
-      const askedAt = timers.now()
-      const report = credits.buildReport([], askedAt)
+      const requestedAt = timers.now()
+      const report = credits.buildReport([], requestedAt)
       send(
         router,
         report,
-        (grants) => credits.applyGrants(grants, askedAt),
+        (grants) => credits.applyGrants(grants, requestedAt),
         findPollIntervalMs(options) - 1,
       )
     },
@@ -181,9 +181,9 @@
 }
 
 /** Buckets of single routers, whose rates a leader may set anew each second. */
-function createSharesWay(setting: StrategyContext, isByDemand: boolean): SimulatedAdmission {
-  const { clock: wheel, options, findQuota, isReachable } = setting
-  const { timers, at } = wheel
+function createShareStrategy(context: StrategyContext, isByDemand: boolean): SimulatedAdmission {
+  const { clock, options, findQuota, isReachable } = context
+  const { timers, at } = clock
   let messages = 0
   const states = Array.from({ length: options.routers }, () => ({
     share: 1 / options.routers,
@@ -191,24 +191,24 @@
     asked: 0,
     filledAt: 0,
   }))
-  const divide = () => {
+  const divideRate = () => {
     const sum = states.reduce((total, { asked }) => total + asked + 1, 0)
     for (const [router, state] of states.entries()) {
       if (isReachable(router)) state.share = (state.asked + 1) / sum
       state.asked = 0
     }
     messages += options.routers
-    at(timers.now() + MS_PER_S, divide)
+    at(timers.now() + MS_PER_S, divideRate)
   }
-  if (isByDemand) at(1, divide)
+  if (isByDemand) at(1, divideRate)
   return {
     admit: async (router, cost) => {
       const state = states[router]
       const { perSecond, burst } = findQuota()
-      const passedMs = timers.now() - state.filledAt
+      const elapsedMs = timers.now() - state.filledAt
       const rate = perSecond * state.share
-      const most = Math.max(burst, perSecond / 2) * state.share
-      state.level = Math.min(most, state.level + (rate * passedMs) / MS_PER_S)
+      const capacity = Math.max(burst, perSecond / 2) * state.share
+      state.level = Math.min(capacity, state.level + (rate * elapsedMs) / MS_PER_S)
       state.filledAt = timers.now()
       state.asked += cost
       if (state.level <= 0) return false
@@ -226,17 +226,17 @@
 }
 
 /** One bucket whose level all routers know as of their last poll, and spend from freely. */
-function createReportedWay({
-  clock: wheel,
+function createReportedUseStrategy({
+  clock,
   options,
   findQuota,
   isReachable,
 }: StrategyContext): SimulatedAdmission {
-  const { timers, at } = wheel
+  const { timers, at } = clock
   let level = findQuota().burst
   let filledAt = 0
   let messages = 0
-  const known = Array.from({ length: options.routers }, () => ({ level, spent: 0 }))
+  const lastKnown = Array.from({ length: options.routers }, () => ({ level, spent: 0 }))
   const fill = () => {
     const { perSecond, burst } = findQuota()
     const filled = level + (perSecond * (timers.now() - filledAt)) / MS_PER_S
@@ -245,7 +245,7 @@
   }
   return {
     admit: async (router, cost) => {
-      const state = known[router]
+      const state = lastKnown[router]
       if (state.level <= 0) return false
       state.level -= cost
       state.spent += cost
@@ -253,19 +253,19 @@
     },
     poll: (router) => {
       messages += 1
-      at(timers.now() + DELAY_MS, () => {
+      at(timers.now() + NETWORK_DELAY_MS, () => {
         if (!isReachable(router)) return
         fill()
-        level -= known[router].spent
-        known[router].spent = 0
-        at(timers.now() + findPollIntervalMs(options) + DELAY_MS, () => {
+        level -= lastKnown[router].spent
+        lastKnown[router].spent = 0
+        at(timers.now() + findPollIntervalMs(options) + NETWORK_DELAY_MS, () => {
           fill()
-          known[router].level = level - known[router].spent
+          lastKnown[router].level = level - lastKnown[router].spent
         })
       })
     },
     restart: (router) => {
-      known[router] = { level: 0, spent: 0 }
+      lastKnown[router] = { level: 0, spent: 0 }
     },
     newTerm: () => {
       level = findQuota().burst
@@ -276,7 +276,10 @@
 }
 
 /** One bucket that all routers see at once: what no fleet can do, as a measure for the others. */
-function createCentralWay({ clock: { timers }, findQuota }: StrategyContext): SimulatedAdmission {
+function createCentralStrategy({
+  clock: { timers },
+  findQuota,
+}: StrategyContext): SimulatedAdmission {
   let level = findQuota().burst
   let filledAt = 0
   return {
@@ -298,16 +301,16 @@
 }
 
 /** Ways to share a limit among routers. */
-export const STRATEGIES: Record<SharingStrategy, (setting: StrategyContext) => SimulatedAdmission> =
+export const STRATEGIES: Record<SharingStrategy, (context: StrategyContext) => SimulatedAdmission> =
   {
-    credits: createCreditsWay,
-    evenShares: (setting) => createSharesWay(setting, false),
-    demandShares: (setting) => createSharesWay(setting, true),
-    reportedUse: createReportedWay,
-    central: createCentralWay,
+    credits: createCreditStrategy,
+    evenShares: (context) => createShareStrategy(context, false),
+    demandShares: (context) => createShareStrategy(context, true),
+    reportedUse: createReportedUseStrategy,
+    central: createCentralStrategy,
   }
 
 /** Finds the time between two polls of a router, in ms. */
 export function findPollIntervalMs({ routers }: FleetSize): number {
-  return Math.max(POLL_MS, routers * POLL_PER_ROUTER_MS)
+  return Math.max(MIN_POLL_INTERVAL_MS, routers * POLL_INTERVAL_PER_ROUTER_MS)
 }
--- a/packages/router/src/__tests__/serverLimits.spec.ts
+++ b/packages/router/src/__tests__/serverLimits.spec.ts
@@ -8,17 +8,17 @@
 const TERM = 4
 const MS_PER_S = 1_000
 /** Lowest rate to a limited server, in requests a second. */
-const PROBE_RATE = 0.5
+const MIN_RATE = 0.5
 
-function buildUpdate(perSecond: number | null, part?: number, ageMs = 0): LimitsUpdate {
-  return { hasParts: true, servers: [{ server: S1, perSecond, ageMs, part }] }
+function buildUpdate(perSecond: number | null, share?: number, ageMs = 0): LimitsUpdate {
+  return { hasParts: true, servers: [{ server: S1, perSecond, ageMs, part: share }] }
 }
 
 /** A router that was answered with a limit at 100 ms, and has a part of it. */
-function createInformed(perSecond: number, part: number) {
+function createLimitsWithShare(perSecond: number, share: number) {
   const limits = createServerLimits()
   limits.recordResponse(S1, { perSecond, sentAt: 50 }, 100)
-  limits.applyUpdate(buildUpdate(perSecond, part), 90, 110)
+  limits.applyUpdate(buildUpdate(perSecond, share), 90, 110)
   return limits
 }
 
@@ -40,7 +40,7 @@
   })
 
   it('permit the part of the rate that was assigned, and say when the next request fits', () => {
-    const limits = createInformed(2, 0.5)
+    const limits = createLimitsWithShare(2, 0.5)
     expect(limits.judgeSend(S1, 110)).to.deep.equal({ kind: 'limited', until: 1_110 })
     expect(limits.judgeSend(S1, 1_110).kind).to.equal('open')
     limits.recordSend(S1, 1_110)
@@ -48,7 +48,7 @@
   })
 
   it('are not lifted by an answer to a request that was sent before they were received', () => {
-    const limits = createInformed(2, 0.5)
+    const limits = createLimitsWithShare(2, 0.5)
     limits.recordResponse(S1, { perSecond: undefined, sentAt: 99 }, 150)
     expect(limits.isLimited(S1)).to.equal(true)
     limits.recordResponse(S1, { perSecond: 50, sentAt: 99 }, 160)
@@ -58,7 +58,7 @@
   })
 
   it('are not lifted by news that is older than what this router received', () => {
-    const limits = createInformed(2, 0.5)
+    const limits = createLimitsWithShare(2, 0.5)
     limits.recordAcknowledged(limits.listUnreported(TERM, 120))
     limits.applyUpdate(buildUpdate(null, undefined, 60), 150, 160)
     expect(limits.isLimited(S1)).to.equal(true)
@@ -68,13 +68,13 @@
   })
 
   it('keep their parts while a new leader has assigned none', () => {
-    const limits = createInformed(2, 0.5)
+    const limits = createLimitsWithShare(2, 0.5)
     limits.applyUpdate({ hasParts: false, servers: [] }, 200, 210)
     expect(limits.judgeSend(S1, 1_200).kind).to.equal('open')
   })
 
   it('are reported once to each leader, and again once they change', () => {
-    const limits = createInformed(2, 0.5)
+    const limits = createLimitsWithShare(2, 0.5)
     const first = limits.listUnreported(TERM, 120)
     expect(first.reports).to.have.length(1)
     limits.recordAcknowledged(first)
@@ -87,7 +87,7 @@
   })
 
   it('bind the next start of a server that may have named them, and not a later one', () => {
-    const limits = createInformed(2, 0.5)
+    const limits = createLimitsWithShare(2, 0.5)
     const next = toBackendServerId('s1@2')
     const later = toBackendServerId('s1@3')
     limits.carryOver(S1, next, 1_000)
@@ -98,7 +98,7 @@
   })
 
   it('are probed where no answer has confirmed them for a while', () => {
-    const limits = createInformed(2, 0.5)
+    const limits = createLimitsWithShare(2, 0.5)
     expect(limits.isProbeDue(S1, 1_200)).to.equal(false)
     expect(limits.isProbeDue(S1, 2_200)).to.equal(true)
     limits.recordSend(S1, 2_200)
@@ -106,18 +106,18 @@
   })
 
   it('never permit more than the part of the highest rate, and one request or a second of it', () => {
-    const fact = fc.record({
+    const observation = fc.record({
       afterMs: fc.nat({ max: 700 }),
       perSecond: fc.option(fc.double({ min: 0, max: 20, noNaN: true })),
       part: fc.option(fc.double({ min: 0, max: 1, noNaN: true })),
       latenessMs: fc.nat({ max: 3_000 }),
     })
     fc.assert(
-      fc.property(fc.array(fact, { maxLength: 60 }), (facts) => {
-        const limits = createInformed(20, 1)
+      fc.property(fc.array(observation, { maxLength: 60 }), (observations) => {
+        const limits = createLimitsWithShare(20, 1)
         let now = 110
         let sends = 0
-        for (const { afterMs, perSecond, part, latenessMs } of facts) {
+        for (const { afterMs, perSecond, part: share, latenessMs } of observations) {
           for (let step = 0; step < afterMs; step += 7) {
             now += 7
             if (limits.judgeSend(S1, now).kind !== 'open') continue
@@ -127,10 +127,10 @@
           // Always names a limit, so that none is ever lifted.
           const observed = { perSecond: perSecond ?? 20, sentAt: now - latenessMs }
           limits.recordResponse(S1, observed, now)
-          const update = buildUpdate(20, part ?? 0, latenessMs)
+          const update = buildUpdate(20, share ?? 0, latenessMs)
           limits.applyUpdate(update, now - latenessMs, now)
         }
-        const highest = Math.max(PROBE_RATE, 20)
+        const highest = Math.max(MIN_RATE, 20)
         expect(sends).to.be.at.most(highest + (highest * (now - 110)) / MS_PER_S)
       }),
       { seed: 47 },
--- a/packages/router/src/__tests__/teamLimits.spec.ts
+++ b/packages/router/src/__tests__/teamLimits.spec.ts
@@ -52,17 +52,17 @@
     const { routers } = createRouters(4)
     const random = createRandomSource(3)
     const running: (() => void)[] = []
-    let most = 0
+    let maxRunning = 0
     for (let step = 0; step < 2_000; step += 1) {
       // Demand moves from router to router.
       const router = routers[Math.floor(step / 500) % routers.length]
       const release = random.next() < 0.7 ? await tryAdmit(router) : undefined
       if (release) running.push(release)
       if (random.next() < 0.6) running.splice(random.nextInt(running.length || 1), 1)[0]?.()
-      most = Math.max(most, running.length)
+      maxRunning = Math.max(maxRunning, running.length)
       timers.advance(20)
     }
-    expect(most).to.equal(LIMIT)
+    expect(maxRunning).to.equal(LIMIT)
     routers.forEach((router) => router.close())
   })
 
@@ -92,13 +92,13 @@
 
   it('hands out nothing under a new leader until earlier shares have expired', () => {
     const ledger = createLedger()
-    const ask = () =>
+    const requestShare = () =>
       ledger.grant({ router: 'r', demands: { [TEAM]: { concurrentRequests: 4 } } }).shares[TEAM]
     timers.advance(10_000)
-    expect(ask().concurrentRequests).to.equal(LIMIT)
+    expect(requestShare().concurrentRequests).to.equal(LIMIT)
     ledger.reset()
-    expect(ask().concurrentRequests).to.equal(0)
+    expect(requestShare().concurrentRequests).to.equal(0)
     timers.advance(10_000)
-    expect(ask().concurrentRequests).to.equal(LIMIT)
+    expect(requestShare().concurrentRequests).to.equal(LIMIT)
   })
 })
--- a/packages/router/src/limits/quotaAdmission.ts
+++ b/packages/router/src/limits/quotaAdmission.ts
@@ -24,100 +24,102 @@
 /** See {@link createQuotaAdmission}. */
 export interface QuotaAdmission {
   /** Admits a send, or refuses it; what was admitted and did not run is given back. */
-  admit(use: QuotaCharge): Promise<QuotaVerdict>
-  refund(use: QuotaCharge): void
+  admit(charge: QuotaCharge): Promise<QuotaVerdict>
+  refund(charge: QuotaCharge): void
 }
 
 /** Longest wait for the leader's answer, in ms. */
-const ANSWER_MS = 150
+const REPLY_TIMEOUT_MS = 150
 /** Requests that wait at a time; more are refused at once. */
 const MAX_WAITING = 256
 /** Questions after which a request without an answer of its own is refused. */
-const MAX_QUESTIONS = 2
+const MAX_QUERIES = 2
 /** Teams whose last refusal is remembered. */
-const MAX_REFUSED = 1_000
+const MAX_RECENT_REFUSALS = 1_000
 /** Time after a refusal for which a team is refused without asking, in ms. */
-const REFUSAL_LIFE_MS = 30
+const REFUSAL_TTL_MS = 30
 
-interface Waiting {
-  readonly use: QuotaCharge
-  questions: number
-  settle(verdict: QuotaVerdict): void
+interface WaitingRequest {
+  readonly charge: QuotaCharge
+  queries: number
+  resolve(verdict: QuotaVerdict): void
 }
 
 /** Creates the admission of one router. */
 export function createQuotaAdmission(options: QuotaAdmissionOptions): QuotaAdmission {
   const { credits, client, timers, logger, findLeaderUrl } = options
-  const refusedUntil = new LRUCache<string, number>({ max: MAX_REFUSED })
-  let queue: Waiting[] = []
-  let isAsking = false
+  const refusedUntil = new LRUCache<string, number>({ max: MAX_RECENT_REFUSALS })
+  let queue: WaitingRequest[] = []
+  let isQuerying = false
 
-  const refuse = (use: QuotaCharge): QuotaVerdict => ({
+  const refuse = (charge: QuotaCharge): QuotaVerdict => ({
     kind: 'refused',
-    ...credits.findStatus(use, timers.promiseNow()),
+    ...credits.findStatus(charge, timers.promiseNow()),
   })
-  const askLeader = async (batch: readonly Waiting[]): Promise<QuotaGrants | undefined> => {
+  const requestCredits = async (
+    batch: readonly WaitingRequest[],
+  ): Promise<QuotaGrants | undefined> => {
     const url = findLeaderUrl()
     if (url === undefined) return undefined
-    const askedAt = timers.promiseNow()
-    const limit = createTimeLimit(timers, ANSWER_MS)
-    const uses = batch.map(({ use }) => use)
+    const requestedAt = timers.promiseNow()
+    const timeout = createTimeLimit(timers, REPLY_TIMEOUT_MS)
+    const charges = batch.map(({ charge }) => charge)
     try {
       const grants = await client.sendJson<QuotaGrants>({
         method: 'POST',
         url: `${url}${QUOTA_PATH}`,
-        json: credits.buildReport(uses, askedAt),
-        signal: limit.signal,
+        json: credits.buildReport(charges, requestedAt),
+        signal: timeout.signal,
       })
-      credits.applyGrants(grants, askedAt)
+      credits.applyGrants(grants, requestedAt)
       return grants
     } catch (cause) {
       logger.warn('quota.notAsked', { url, waiting: batch.length, reason: String(cause) })
       return undefined
     } finally {
-      limit.close()
+      timeout.close()
     }
   }
   /** Settles a request that was asked for; false where the answer says nothing of its team. */
-  const settleAsked = (waiting: Waiting, grants: QuotaGrants | undefined): boolean => {
-    const { use } = waiting
-    if (credits.take(use, timers.promiseNow())) {
-      waiting.settle({ kind: 'admitted' })
+  const settleRequest = (request: WaitingRequest, grants: QuotaGrants | undefined): boolean => {
+    const { charge } = request
+    if (credits.take(charge, timers.promiseNow())) {
+      request.resolve({ kind: 'admitted' })
       return true
     }
-    const key = formatQuotaKey(use.team, use.quota.unit)
-    const isAnswered = grants?.grants.some((grant) => grant.key === key) === true
-    waiting.questions += 1
-    if (grants && !isAnswered && waiting.questions < MAX_QUESTIONS) return false
-    if (isAnswered) refusedUntil.set(use.team, timers.now() + REFUSAL_LIFE_MS)
-    waiting.settle(refuse(use))
+    const key = formatQuotaKey(charge.team, charge.quota.unit)
+    const isInReply = grants?.grants.some((grant) => grant.key === key) === true
+    request.queries += 1
+    if (grants && !isInReply && request.queries < MAX_QUERIES) return false
+    if (isInReply) refusedUntil.set(charge.team, timers.now() + REFUSAL_TTL_MS)
+    request.resolve(refuse(charge))
     return true
   }
-  const askForAll = async () => {
-    isAsking = true
+  const processQueue = async () => {
+    isQuerying = true
     try {
       while (queue.length > 0) {
         const batch = queue
         queue = []
-        const grants = await askLeader(batch)
-        queue = [...batch.filter((waiting) => !settleAsked(waiting, grants)), ...queue]
+        const grants = await requestCredits(batch)
+        queue = [...batch.filter((request) => !settleRequest(request, grants)), ...queue]
       }
     } finally {
-      isAsking = false
+      isQuerying = false
     }
   }
-  const isAskOfUse = ({ team }: QuotaCharge) =>
+  const isQueryUseful = ({ team }: QuotaCharge) =>
     credits.hasLeaderContact(timers.promiseNow()) &&
     queue.length < MAX_WAITING &&
     timers.now() >= (refusedUntil.get(team) ?? -Infinity)
   return {
-    admit: async (use) => {
-      if (credits.take(use, timers.promiseNow())) return { kind: 'admitted' }
-      if (!isAskOfUse(use)) return refuse(use)
+    admit: async (charge) => {
+      if (credits.take(charge, timers.promiseNow())) return { kind: 'admitted' }
+      if (!isQueryUseful(charge)) return refuse(charge)
       const verdict = new Promise<QuotaVerdict>((resolve) => {
-        queue.push({ use, questions: 0, settle: resolve })
+        queue.push({ charge, queries: 0, resolve })
       })
-      if (!isAsking) void askForAll()
+      if (!isQuerying) void processQueue()
       return verdict
     },
     refund: credits.refund,
--- a/packages/router/src/limits/quotaCredits.ts
+++ b/packages/router/src/limits/quotaCredits.ts
@@ -44,33 +44,33 @@
 /** See {@link createQuotaCredits}. Instants are in ms of the clock for promises. */
 export interface QuotaCredits {
   /** Takes the credits of a send; false where they are missing. */
-  take(use: QuotaCharge, now: number): boolean
+  take(charge: QuotaCharge, now: number): boolean
   /** Gives back the credits of a send that no server ran. */
-  refund(use: QuotaCharge): void
+  refund(charge: QuotaCharge): void
   /** Whether it is of use to ask the leader for more. */
   hasLeaderContact(now: number): boolean
   /** Builds the report of what changed, with the costs of requests that wait. */
   buildReport(waiting: readonly QuotaCharge[], now: number): QuotaReport
-  applyGrants(grants: QuotaGrants, askedAt: number): void
-  findStatus(use: QuotaCharge, now: number): CreditStatus
+  applyGrants(grants: QuotaGrants, requestedAt: number): void
+  findStatus(charge: QuotaCharge, now: number): CreditStatus
 }
 
 /** Time over which demand is averaged, in ms. */
-const DEMAND_MEMORY_MS = 1_000
+const DEMAND_DECAY_MS = 1_000
 /** Time whose demand should be covered by credits held, in ms. */
 const PREFETCH_MS = 100
 /** Credits beyond this multiple of the prefetch are given back. */
 const SURPLUS_RATIO = 2
 /** Time whose even share a router may use ahead while a team has room, in ms. */
-const AHEAD_MS = 2_000
+const OVERDRAFT_MS = 2_000
 /** Part of an even share that a router uses without a leader while a team is scarce. */
-const SCARCE_SHARE = 0.5
+const SCARCE_SHARE_RATIO = 0.5
 /** Time whose share may be saved up without a leader, in ms. */
-const SHARE_BURST_MS = 1_000
+const OFFLINE_BURST_MS = 1_000
 /** Reports without an answer that are remembered. */
-const MAX_IN_FLIGHT = 64
+const MAX_IN_FLIGHT_REPORTS = 64
 /** Limits of teams that are remembered: several times those of a large fleet. */
-const MAX_TEAMS = 5_000
+const MAX_TEAM_LIMITS = 5_000
 /** Retry delay where no leader named one, in ms. */
 const DEFAULT_RETRY_MS = 300
 const MS_PER_S = 1_000
@@ -81,93 +81,94 @@
   returned: number
   /** Units a second, decaying. */
   demand: number
-  demandAt: number
+  demandUpdatedAt: number
   /** What draws without a leader took less than they cost. */
-  drawn: number
+  overdraftCorrection: number
   /** Until when a share was added. */
-  sharedUntil: number
+  shareAddedUntil: number
   retryAfterMs: number
   /** Rises with each change of what is held. */
-  changes: number
+  revision: number
   /** `changes` as the leader knows it. */
-  reported: number
+  reportedRevision: number
 }
 
 /** Creates credits of nobody. */
 export function createQuotaCredits(options: QuotaCreditsOptions): QuotaCredits {
-  const { router, incarnation: life, countRouters, random } = options
+  const { router, incarnation, countRouters, random } = options
   /** By key of their limit. */
-  const teams = new Map<string, TeamCredits>()
+  const creditsByKey = new Map<string, TeamCredits>()
   /** `changes` of the teams in each report that is not answered. */
   const inFlight = new Map<number, ReadonlyMap<string, number>>()
   let scarce: ReadonlySet<string> = new Set()
-  let contactAt = -Infinity
+  let lastContactAt = -Infinity
   let term = -1
   let sequence = 0
   let appliedSequence = -1
 
-  const findKey = ({ team, quota }: QuotaCharge) => formatQuotaKey(team, quota.unit)
-  const isScarce = (use: QuotaCharge) => scarce.has(findKey(use))
-  const findTeam = (key: string, now: number): TeamCredits => {
-    const known = teams.get(key)
-    if (known) return known
+  const formatKey = ({ team, quota }: QuotaCharge) => formatQuotaKey(team, quota.unit)
+  const isScarce = (charge: QuotaCharge) => scarce.has(formatKey(charge))
+  const findCredits = (key: string, now: number): TeamCredits => {
+    const existing = creditsByKey.get(key)
+    if (existing) return existing
     const created: TeamCredits = {
       held: 0,
       seen: 0,
       returned: 0,
       demand: 0,
-      demandAt: now,
-      drawn: 0,
-      sharedUntil: now,
+      demandUpdatedAt: now,
+      overdraftCorrection: 0,
+      shareAddedUntil: now,
       retryAfterMs: DEFAULT_RETRY_MS,
-      changes: 0,
-      reported: 0,
+      revision: 0,
+      reportedRevision: 0,
     }
-    teams.set(key, created)
-    removeOldest(teams, MAX_TEAMS)
+    creditsByKey.set(key, created)
+    removeOldest(creditsByKey, MAX_TEAM_LIMITS)
     return created
   }
-  const findDemand = ({ demand, demandAt }: TeamCredits, now: number): number =>
-    demand * Math.exp(-Math.max(0, now - demandAt) / DEMAND_MEMORY_MS)
-  const findSilentSince = () => contactAt + findContactTimeoutMs(countRouters())
-  const findEvenShare = ({ quota }: QuotaCharge): number =>
+  const findDemand = ({ demand, demandUpdatedAt }: TeamCredits, now: number): number =>
+    demand * Math.exp(-Math.max(0, now - demandUpdatedAt) / DEMAND_DECAY_MS)
+  const findContactDeadline = () => lastContactAt + findContactTimeoutMs(countRouters())
+  const findEqualShare = ({ quota }: QuotaCharge): number =>
     quota.perSecond / Math.max(1, countRouters()) / MS_PER_S
   /** Finds what this router may use without a leader, in units a ms: for a team with room, at least what it used before. */
-  const findShare = (credits: TeamCredits, use: QuotaCharge, now: number): number => {
-    const even = findEvenShare(use)
-    if (isScarce(use)) return SCARCE_SHARE * even
-    return Math.max(even, findDemand(credits, now) / MS_PER_S)
+  const findOfflineShare = (credits: TeamCredits, charge: QuotaCharge, now: number): number => {
+    const equalShare = findEqualShare(charge)
+    if (isScarce(charge)) return SCARCE_SHARE_RATIO * equalShare
+    return Math.max(equalShare, findDemand(credits, now) / MS_PER_S)
   }
   /** Adds this router's share of the rate for the time without a leader. */
-  const settleSilence = (credits: TeamCredits, use: QuotaCharge, now: number) => {
-    if (now - contactAt > CREDIT_TTL_MS) credits.held = Math.min(0, credits.held)
-    const since = Math.max(credits.sharedUntil, findSilentSince())
+  const addOfflineShare = (credits: TeamCredits, charge: QuotaCharge, now: number) => {
+    if (now - lastContactAt > CREDIT_TTL_MS) credits.held = Math.min(0, credits.held)
+    const since = Math.max(credits.shareAddedUntil, findContactDeadline())
     if (now <= since) return
-    const share = findShare(credits, use, now)
-    const most = Math.max(credits.held, share * SHARE_BURST_MS)
-    credits.held = Math.min(most, credits.held + share * (now - since))
-    credits.sharedUntil = now
-    credits.changes += 1
+    const share = findOfflineShare(credits, charge, now)
+    const maxHeld = Math.max(credits.held, share * OFFLINE_BURST_MS)
+    credits.held = Math.min(maxHeld, credits.held + share * (now - since))
+    credits.shareAddedUntil = now
+    credits.revision += 1
   }
   /**
-   * Decides whether a send may use more than the credits held. Routers together use no more ahead than the rate of {@link AHEAD_MS}, and in
+   * Decides whether a send may use more than the credits held. Routers together use no more ahead than the rate of {@link OVERDRAFT_MS}, and in
    * touch with the leader one request besides, which the next poll reports. Without a leader a request beyond this router's part goes with
    * the probability that the part covers, so that large ones are not all refused where there are many routers.
    */
-  const drawOverdraft = (credits: TeamCredits, use: QuotaCharge, now: number): boolean => {
-    if (contactAt === -Infinity || isScarce(use)) return false
-    const part = credits.held + credits.drawn + findEvenShare(use) * AHEAD_MS
-    if (now <= findSilentSince()) return credits.held >= 0 || part >= use.cost
-    const covered = Math.min(use.cost, Math.max(0, part))
-    const isDrawn = random.next() * use.cost < covered
-    credits.drawn += isDrawn ? use.cost - covered : -covered
-    return isDrawn
+  const drawOverdraft = (credits: TeamCredits, charge: QuotaCharge, now: number): boolean => {
+    if (lastContactAt === -Infinity || isScarce(charge)) return false
+    const allowance =
+      credits.held + credits.overdraftCorrection + findEqualShare(charge) * OVERDRAFT_MS
+    if (now <= findContactDeadline()) return credits.held >= 0 || allowance >= charge.cost
+    const coveredCost = Math.min(charge.cost, Math.max(0, allowance))
+    const isAllowed = random.next() * charge.cost < coveredCost
+    credits.overdraftCorrection += isAllowed ? charge.cost - coveredCost : -coveredCost
+    return isAllowed
   }
   const recordDemand = (credits: TeamCredits, cost: number, now: number) => {
-    const passedMs = Math.max(0, now - credits.demandAt)
-    credits.demand *= Math.exp(-passedMs / DEMAND_MEMORY_MS)
-    credits.demand += (cost / DEMAND_MEMORY_MS) * MS_PER_S
-    credits.demandAt = now
+    const elapsedMs = Math.max(0, now - credits.demandUpdatedAt)
+    credits.demand *= Math.exp(-elapsedMs / DEMAND_DECAY_MS)
+    credits.demand += (cost / DEMAND_DECAY_MS) * MS_PER_S
+    credits.demandUpdatedAt = now
   }
   const findPrefetch = (credits: TeamCredits, now: number): number =>
     (findDemand(credits, now) * PREFETCH_MS) / MS_PER_S
@@ -184,90 +185,93 @@
     if (waiting.length === 0 && isSurplus(credits, now)) {
       credits.returned += credits.held - prefetch
       credits.held = prefetch
-      credits.changes += 1
+      credits.revision += 1
     }
     const { seen, held, returned } = credits
     return { key, seen, held, returned, prefetch, waiting }
   }
   const applyGrant = ({ key, granted, retryAfterMs }: CreditGrant) => {
-    const credits = teams.get(key)
+    const credits = creditsByKey.get(key)
     if (!credits) return
     credits.retryAfterMs = retryAfterMs
     // Answers overtake each other; each names the sum of all credits.
     if (granted <= credits.seen) return
     credits.held += granted - credits.seen
     credits.seen = granted
-    credits.changes += 1
+    credits.revision += 1
   }
-  const beginTerm = (next: number) => {
-    term = next
+  const startTerm = (newTerm: number) => {
+    term = newTerm
     inFlight.clear()
     appliedSequence = -1
-    for (const credits of teams.values()) {
+    for (const credits of creditsByKey.values()) {
       credits.seen = 0
-      credits.reported = -1
+      credits.reportedRevision = -1
     }
   }
-  const recordReported = (answered: number) => {
-    for (const [key, changes] of inFlight.get(answered) ?? []) {
-      const credits = teams.get(key)
-      if (credits) credits.reported = Math.max(credits.reported, changes)
+  const recordAcknowledged = (acknowledgedSequence: number) => {
+    for (const [key, revision] of inFlight.get(acknowledgedSequence) ?? []) {
+      const credits = creditsByKey.get(key)
+      if (credits) credits.reportedRevision = Math.max(credits.reportedRevision, revision)
     }
-    inFlight.delete(answered)
+    inFlight.delete(acknowledgedSequence)
   }
   return {
-    take: (use, now) => {
-      const { cost } = use
-      const credits = findTeam(findKey(use), now)
-      settleSilence(credits, use, now)
-      if (credits.held < cost && !drawOverdraft(credits, use, now)) return false
+    take: (charge, now) => {
+      const { cost } = charge
+      const credits = findCredits(formatKey(charge), now)
+      addOfflineShare(credits, charge, now)
+      if (credits.held < cost && !drawOverdraft(credits, charge, now)) return false
       // What is used without a leader does not raise the share that is used without one.
-      if (now <= findSilentSince()) recordDemand(credits, cost, now)
+      if (now <= findContactDeadline()) recordDemand(credits, cost, now)
       credits.held -= cost
-      credits.changes += 1
+      credits.revision += 1
       return true
     },
-    refund: (use) => {
-      const credits = teams.get(findKey(use))
+    refund: (charge) => {
+      const credits = creditsByKey.get(formatKey(charge))
       if (!credits) return
-      credits.held += use.cost
-      credits.changes += 1
+      credits.held += charge.cost
+      credits.revision += 1
     },
-    hasLeaderContact: (now) => now <= findSilentSince(),
+    hasLeaderContact: (now) => now <= findContactDeadline(),
     buildReport: (waiting, now) => {
-      const costs = new Map<string, number[]>()
-      for (const use of waiting) {
-        const key = findKey(use)
-        costs.set(key, [...(costs.get(key) ?? []), use.cost])
+      const waitingCosts = new Map<string, number[]>()
+      for (const charge of waiting) {
+        const key = formatKey(charge)
+        waitingCosts.set(key, [...(waitingCosts.get(key) ?? []), charge.cost])
       }
       const isReported = (key: string, credits: TeamCredits) =>
-        credits.changes !== credits.reported || costs.has(key) || isSurplus(credits, now)
-      const changed = [...teams].filter(([key, credits]) => isReported(key, credits))
+        credits.revision !== credits.reportedRevision ||
+        waitingCosts.has(key) ||
+        isSurplus(credits, now)
+      const changed = [...creditsByKey].filter(([key, credits]) => isReported(key, credits))
       const uses = changed.map(([key, credits]) =>
-        buildUse(key, credits, costs.get(key) ?? [], now),
+        buildUse(key, credits, waitingCosts.get(key) ?? [], now),
       )
       sequence += 1
-      inFlight.set(sequence, new Map(changed.map(([key, { changes }]) => [key, changes])))
-      removeOldest(inFlight, MAX_IN_FLIGHT)
-      return { router, life, sequence, term, uses }
+      inFlight.set(sequence, new Map(changed.map(([key, { revision }]) => [key, revision])))
+      removeOldest(inFlight, MAX_IN_FLIGHT_REPORTS)
+      return { router, life: incarnation, sequence, term, uses }
     },
-    applyGrants: (grants, askedAt) => {
+    applyGrants: (grants, requestedAt) => {
       if (grants.term < term) return
-      if (grants.term > term) beginTerm(grants.term)
-      if (askedAt > contactAt) {
-        contactAt = askedAt
-        for (const credits of teams.values()) credits.drawn = 0
+      if (grants.term > term) startTerm(grants.term)
+      if (requestedAt > lastContactAt) {
+        lastContactAt = requestedAt
+        for (const credits of creditsByKey.values()) credits.overdraftCorrection = 0
       }
       for (const grant of grants.grants) applyGrant(grant)
-      recordReported(grants.sequence)
+      recordAcknowledged(grants.sequence)
       if (grants.sequence < appliedSequence) return
       appliedSequence = grants.sequence
       scarce = new Set(grants.scarce)
     },
-    findStatus: (use, now) => {
-      const { held = 0, retryAfterMs = DEFAULT_RETRY_MS } = teams.get(findKey(use)) ?? {}
-      const contactAgeMs = Math.round(now - contactAt)
-      return { held: Math.round(held), isScarce: isScarce(use), contactAgeMs, retryAfterMs }
+    findStatus: (charge, now) => {
+      const { held = 0, retryAfterMs = DEFAULT_RETRY_MS } =
+        creditsByKey.get(formatKey(charge)) ?? {}
+      const contactAgeMs = Math.round(now - lastContactAt)
+      return { held: Math.round(held), isScarce: isScarce(charge), contactAgeMs, retryAfterMs }
     },
   }
 }
--- a/packages/router/src/limits/serverLimits.ts
+++ b/packages/router/src/limits/serverLimits.ts
@@ -26,7 +26,7 @@
   /** Records what an answer to this router shows; true where the limit changed. */
   recordResponse(server: BackendServerId, observation: LimitObservation, now: number): boolean
   /** Applies what the leader knows from all routers, as of an instant at or after `askedAt`. */
-  applyUpdate(update: LimitsUpdate, askedAt: number, now: number): void
+  applyUpdate(update: LimitsUpdate, requestedAt: number, now: number): void
   recordSend(server: BackendServerId, now: number): void
   judgeSend(server: BackendServerId, now: number): LimitVerdict
   /** Keeps a recent limit for the next start of a server, which may have been the one that named it. */
@@ -41,7 +41,7 @@
 }
 
 /** Lowest rate to a limited server, in requests a second: without any, nobody sees that the limit is gone. */
-const PROBE_RATE = 0.5
+const MIN_RATE = 0.5
 /** Time without an answer after which a limited server should get a request, in ms. */
 const PROBE_AFTER_MS = 2_000
 /** Time for which unused rate is saved up, in ms. */
@@ -49,7 +49,7 @@
 /** Time after which an unchanged limit is reported again, in ms. */
 const REPORT_PERIOD_MS = 2_000
 /** Retry delay for a server of whose rate this router has no part, in ms. */
-const NO_PART_RETRY_MS = 1_000
+const NO_SHARE_RETRY_MS = 1_000
 /** Incarnations that are remembered: several times those of a large fleet. */
 const MAX_SERVERS = 5_000
 const MS_PER_S = 1_000
@@ -65,27 +65,27 @@
   acknowledged:
     { readonly term: number; readonly report: LimitReport; readonly at: number } | undefined
   /** Part of the rate that this router may use, 0 to 1. */
-  part: number
+  share: number
   tokens: number
   filledAt: number
 }
 
 const OPEN: LimitVerdict = { kind: 'open' }
 
-function findRatePerMs({ perSecond = 0, part }: LimitState): number {
-  return (part * Math.max(PROBE_RATE, perSecond)) / MS_PER_S
+function findRatePerMs({ perSecond = 0, share }: LimitState): number {
+  return (share * Math.max(MIN_RATE, perSecond)) / MS_PER_S
 }
 
-function settleBucket(state: LimitState, now: number): void {
+function refillBucket(state: LimitState, now: number): void {
   const ratePerMs = findRatePerMs(state)
   const capacity = ratePerMs === 0 ? 0 : Math.max(1, ratePerMs * BURST_MS)
-  const passedMs = Math.max(0, now - state.filledAt)
-  state.tokens = Math.min(capacity, state.tokens + ratePerMs * passedMs)
+  const elapsedMs = Math.max(0, now - state.filledAt)
+  state.tokens = Math.min(capacity, state.tokens + ratePerMs * elapsedMs)
   state.filledAt = now
 }
 
 /** Whether a limit allows more than another; no limit allows the most. */
-function isLooser(a: number | undefined, b: number | undefined): boolean {
+function isHigherLimit(a: number | undefined, b: number | undefined): boolean {
   return (a ?? Infinity) > (b ?? Infinity)
 }
 
@@ -99,7 +99,7 @@
       at,
       isOwn: false,
       acknowledged: undefined,
-      part: 0,
+      share: 0,
       tokens: 0,
       filledAt: now,
     }
@@ -107,30 +107,30 @@
     return state
   }
   const setLimit = (state: LimitState, perSecond: number | undefined, now: number) => {
-    settleBucket(state, now)
+    refillBucket(state, now)
     if (state.perSecond === undefined) state.tokens = Math.min(0, state.tokens)
     state.perSecond = perSecond
   }
-  const applyNews = (news: AssignedLimit, askedAt: number, now: number) => {
-    const server = news.server as BackendServerId
-    const perSecond = news.perSecond ?? undefined
+  const applyAssignedLimit = (assigned: AssignedLimit, requestedAt: number, now: number) => {
+    const server = assigned.server as BackendServerId
+    const perSecond = assigned.perSecond ?? undefined
     // Dated late, a limit is kept for longer; dated early, the end of one is no newer than it was.
-    const at = (perSecond === undefined ? askedAt : now) - news.ageMs
-    const known = states.get(server)
-    if (!known) return perSecond === undefined ? undefined : addState(server, perSecond, at, now)
-    const isNewer = at > known.at
-    if (known.perSecond === perSecond) {
-      known.at = Math.max(known.at, at)
-    } else if (isNewer || !known.isOwn) {
-      setLimit(known, perSecond, now)
-      Object.assign(known, { at, isOwn: false })
+    const at = (perSecond === undefined ? requestedAt : now) - assigned.ageMs
+    const existing = states.get(server)
+    if (!existing) return perSecond === undefined ? undefined : addState(server, perSecond, at, now)
+    const isNewer = at > existing.at
+    if (existing.perSecond === perSecond) {
+      existing.at = Math.max(existing.at, at)
+    } else if (isNewer || !existing.isOwn) {
+      setLimit(existing, perSecond, now)
+      Object.assign(existing, { at, isOwn: false })
     } else {
-      known.acknowledged = undefined
+      existing.acknowledged = undefined
     }
-    return known
+    return existing
   }
   /** Own observations that the leader does not know are reported again; those of others are dropped. */
-  const reconcileUnlisted = (listed: ReadonlySet<string>) => {
+  const reconcileMissing = (listed: ReadonlySet<string>) => {
     for (const [server, state] of states) {
       if (listed.has(server)) continue
       if (state.isOwn && state.perSecond !== undefined) state.acknowledged = undefined
@@ -151,50 +151,50 @@
   }
   return {
     recordResponse: (server, { perSecond, sentAt }, now) => {
-      const known = states.get(server)
-      if (!known && perSecond === undefined) return false
-      const state = known ?? addState(server, perSecond ?? 0, now, now)
+      const existing = states.get(server)
+      if (!existing && perSecond === undefined) return false
+      const state = existing ?? addState(server, perSecond ?? 0, now, now)
       // Responses can arrive out of order: only a request sent after the newest one shows a looser limit.
-      if (isLooser(perSecond, state.perSecond) && sentAt < state.at) return false
-      const isChanged = !known || state.perSecond !== perSecond
+      if (isHigherLimit(perSecond, state.perSecond) && sentAt < state.at) return false
+      const isChanged = !existing || state.perSecond !== perSecond
       if (isChanged) setLimit(state, perSecond, now)
       Object.assign(state, { at: now, isOwn: true })
       return isChanged
     },
-    applyUpdate: ({ servers, hasParts }, askedAt, now) => {
-      for (const news of servers) {
-        const state = applyNews(news, askedAt, now)
+    applyUpdate: ({ servers, hasParts }, requestedAt, now) => {
+      for (const assigned of servers) {
+        const state = applyAssignedLimit(assigned, requestedAt, now)
         if (!state || !hasParts) continue
-        settleBucket(state, now)
-        state.part = news.part ?? 0
+        refillBucket(state, now)
+        state.share = assigned.part ?? 0
       }
-      if (hasParts) reconcileUnlisted(new Set(servers.map(({ server }) => server)))
+      if (hasParts) reconcileMissing(new Set(servers.map(({ server }) => server)))
     },
     recordSend: (server, now) => {
       const state = states.get(server)
       if (!state) return
-      settleBucket(state, now)
+      refillBucket(state, now)
       state.tokens -= 1
     },
     judgeSend: (server, now) => {
       const state = states.get(server)
       if (state?.perSecond === undefined) return OPEN
-      settleBucket(state, now)
+      refillBucket(state, now)
       if (state.tokens >= 1) return OPEN
       const ratePerMs = findRatePerMs(state)
-      const waitMs = ratePerMs === 0 ? NO_PART_RETRY_MS : (1 - state.tokens) / ratePerMs
+      const waitMs = ratePerMs === 0 ? NO_SHARE_RETRY_MS : (1 - state.tokens) / ratePerMs
       return { kind: 'limited', until: now + waitMs }
     },
     carryOver: (before, after, now) => {
       const state = states.get(before)
       if (!state || now - state.at > CARRY_OVER_MS || states.has(after)) return
-      states.set(after, { ...state, acknowledged: undefined, part: 0, tokens: 0 })
+      states.set(after, { ...state, acknowledged: undefined, share: 0, tokens: 0 })
     },
     isLimited: (server) => states.get(server)?.perSecond !== undefined,
     isProbeDue: (server, now) => {
       const state = states.get(server)
       if (state?.perSecond === undefined || now - state.at < PROBE_AFTER_MS) return false
-      settleBucket(state, now)
+      refillBucket(state, now)
       return state.tokens >= 1
     },
     countLimited: () =>
--- a/packages/router/src/limits/teamLimits.ts
+++ b/packages/router/src/limits/teamLimits.ts
@@ -31,7 +31,7 @@
   close(): void
 }
 
-interface TeamUse {
+interface TeamUsage {
   shares: LimitAmounts
   expiresAt: number
   running: number
@@ -40,21 +40,21 @@
   tokens: number
   filledAt: number
   /** Amounts that were asked for since the last renewal. */
-  askedRequests: number
-  askedTokens: number
-  askedRunning: number
+  demandedRequests: number
+  demandedTokens: number
+  peakRunning: number
 }
 
 const RENEW_PERIOD_MS = 1_000
 const MS_PER_SECOND = 1_000
 /** Seconds of a rate that a bucket can hold. */
-const BUCKET_SECONDS = 1
+const BURST_SECONDS = 1
 
 function isLimited(parameters: TeamParameters): boolean {
   return LIMIT_KINDS.some((kind) => parameters[kind] !== undefined)
 }
 
-function createUse(now: number): TeamUse {
+function createUsage(now: number): TeamUsage {
   return {
     shares: {},
     expiresAt: -Infinity,
@@ -63,116 +63,118 @@
     requests: Infinity,
     tokens: Infinity,
     filledAt: now,
-    askedRequests: 0,
-    askedTokens: 0,
-    askedRunning: 0,
+    demandedRequests: 0,
+    demandedTokens: 0,
+    peakRunning: 0,
   }
 }
 
 /** Fills a bucket at a rate; it holds at least one request. */
-function addToBucket(level: number, rate: number, seconds: number, smallest: number): number {
-  return Math.min(Math.max(smallest, rate * BUCKET_SECONDS), level + rate * seconds)
+function refillBucket(level: number, rate: number, seconds: number, minCapacity: number): number {
+  return Math.min(Math.max(minCapacity, rate * BURST_SECONDS), level + rate * seconds)
 }
 
 /** Creates limits without any share. */
 export function createTeamLimits(options: TeamLimitsOptions): TeamLimits {
   const { control, timers, logger, router } = options
-  const uses = new Map<TeamId, TeamUse>()
-  let renewing: Promise<void> | undefined
+  const usageByTeam = new Map<TeamId, TeamUsage>()
+  let pendingRenewal: Promise<void> | undefined
 
-  const buildDemand = (use: TeamUse): LimitAmounts => ({
-    concurrentRequests: Math.max(use.running, use.askedRunning),
-    requestsPerSecond: use.askedRequests,
-    tokensPerSecond: use.askedTokens,
+  const buildDemand = (usage: TeamUsage): LimitAmounts => ({
+    concurrentRequests: Math.max(usage.running, usage.peakRunning),
+    requestsPerSecond: usage.demandedRequests,
+    tokensPerSecond: usage.demandedTokens,
   })
-  const installShares = (reply: ShareReply, askedAt: number) => {
+  const applyShares = (reply: ShareReply, requestedAt: number) => {
     for (const [team, shares] of Object.entries(reply.shares)) {
-      const use = uses.get(team as TeamId)
-      if (!use) continue
-      use.shares = shares
-      use.expiresAt = askedAt + reply.expiresInMs
-      use.askedRequests = 0
-      use.askedTokens = 0
-      use.askedRunning = use.running
+      const usage = usageByTeam.get(team as TeamId)
+      if (!usage) continue
+      usage.shares = shares
+      usage.expiresAt = requestedAt + reply.expiresInMs
+      usage.demandedRequests = 0
+      usage.demandedTokens = 0
+      usage.peakRunning = usage.running
     }
   }
-  const renewNow = async () => {
-    const askedAt = timers.promiseNow()
-    const demands = Object.fromEntries([...uses].map(([team, use]) => [team, buildDemand(use)]))
+  const requestShares = async () => {
+    const requestedAt = timers.promiseNow()
+    const demands = Object.fromEntries(
+      [...usageByTeam].map(([team, usage]) => [team, buildDemand(usage)]),
+    )
     try {
       const reply = await control.request<ShareReply>('POST', '/shares', { router, demands })
-      installShares(reply, askedAt)
+      applyShares(reply, requestedAt)
     } catch (cause) {
       logger.warn('limits.notRenewed', { reason: String(cause) })
     }
   }
   const renew = () => {
-    renewing ??= renewNow().finally(() => {
-      renewing = undefined
+    pendingRenewal ??= requestShares().finally(() => {
+      pendingRenewal = undefined
     })
-    return renewing
+    return pendingRenewal
   }
-  const forgetIdle = () => {
-    for (const [team, use] of uses) {
-      const isIdle = use.running === 0 && use.askedRequests === 0
-      if (isIdle && use.expiresAt < timers.promiseNow()) uses.delete(team)
+  const removeIdle = () => {
+    for (const [team, usage] of usageByTeam) {
+      const isIdle = usage.running === 0 && usage.demandedRequests === 0
+      if (isIdle && usage.expiresAt < timers.promiseNow()) usageByTeam.delete(team)
     }
   }
   const renewal = timers.every(RENEW_PERIOD_MS).subscribe(() => {
-    forgetIdle()
-    if (uses.size > 0) void renew()
+    removeIdle()
+    if (usageByTeam.size > 0) void renew()
   })
 
-  const fill = (use: TeamUse, tokens: number) => {
+  const refill = (usage: TeamUsage, tokens: number) => {
     const now = timers.now()
-    const seconds = (now - use.filledAt) / MS_PER_SECOND
-    const { requestsPerSecond = 0, tokensPerSecond = 0 } = use.shares
-    use.requests = addToBucket(use.requests, requestsPerSecond, seconds, 1)
-    use.tokens = addToBucket(use.tokens, tokensPerSecond, seconds, tokens)
-    use.filledAt = now
+    const seconds = (now - usage.filledAt) / MS_PER_SECOND
+    const { requestsPerSecond = 0, tokensPerSecond = 0 } = usage.shares
+    usage.requests = refillBucket(usage.requests, requestsPerSecond, seconds, 1)
+    usage.tokens = refillBucket(usage.tokens, tokensPerSecond, seconds, tokens)
+    usage.filledAt = now
   }
-  const findReached = (
-    use: TeamUse,
+  const findReachedLimit = (
+    usage: TeamUsage,
     parameters: TeamParameters,
     tokens: number,
   ): LimitKind | undefined => {
     // The ledger gives an expired share to others, also while this machine is suspended.
-    const isValid = timers.promiseNow() < use.expiresAt
+    const isValid = timers.promiseNow() < usage.expiresAt
     const isWithin: Record<LimitKind, () => boolean> = {
-      concurrentRequests: () => use.running + 1 <= (use.shares.concurrentRequests ?? 0),
-      requestsPerSecond: () => (use.shares.requestsPerSecond ?? 0) > 0 && use.requests >= 1,
-      tokensPerSecond: () => (use.shares.tokensPerSecond ?? 0) > 0 && use.tokens >= tokens,
+      concurrentRequests: () => usage.running + 1 <= (usage.shares.concurrentRequests ?? 0),
+      requestsPerSecond: () => (usage.shares.requestsPerSecond ?? 0) > 0 && usage.requests >= 1,
+      tokensPerSecond: () => (usage.shares.tokensPerSecond ?? 0) > 0 && usage.tokens >= tokens,
     }
     return LIMIT_KINDS.find(
       (kind) => parameters[kind] !== undefined && !(isValid && isWithin[kind]()),
     )
   }
-  const start = (use: TeamUse, tokens: number) => {
-    use.running += 1
-    use.requests -= 1
-    use.tokens -= tokens
+  const start = (usage: TeamUsage, tokens: number) => {
+    usage.running += 1
+    usage.requests -= 1
+    usage.tokens -= tokens
     let isRunning = true
     return () => {
-      if (isRunning) use.running -= 1
+      if (isRunning) usage.running -= 1
       isRunning = false
     }
   }
   return {
     admit: async (team, parameters, tokens) => {
       if (!isLimited(parameters)) return () => {}
-      const use = uses.get(team) ?? createUse(timers.now())
-      uses.set(team, use)
-      use.askedRequests += 1
-      use.askedTokens += tokens
-      use.askedRunning = Math.max(use.askedRunning, use.running + 1)
-      fill(use, tokens)
+      const usage = usageByTeam.get(team) ?? createUsage(timers.now())
+      usageByTeam.set(team, usage)
+      usage.demandedRequests += 1
+      usage.demandedTokens += tokens
+      usage.peakRunning = Math.max(usage.peakRunning, usage.running + 1)
+      refill(usage, tokens)
       // Shares follow demand: before a refusal this router asks whether there is more for it.
-      if (findReached(use, parameters, tokens)) {
+      if (findReachedLimit(usage, parameters, tokens)) {
         await renew()
-        fill(use, tokens)
+        refill(usage, tokens)
       }
-      const reached = findReached(use, parameters, tokens)
-      if (reached === undefined) return start(use, tokens)
+      const reached = findReachedLimit(usage, parameters, tokens)
+      if (reached === undefined) return start(usage, tokens)
       const limit = parameters[reached]
       throw new SpoolgateError(
         'limitReached',
--- a/packages/router/src/server/callerRequest.ts
+++ b/packages/router/src/server/callerRequest.ts
@@ -71,8 +71,8 @@
   if (request.stream !== undefined && typeof request.stream !== 'boolean') {
     throw new SpoolgateError('invalidRequest', 'send "stream" as true or false')
   }
-  const bound = request.max_completion_tokens ?? request.max_tokens
-  if (bound !== undefined && !(Number.isInteger(bound) && Number(bound) > 0)) {
+  const maxTokens = request.max_completion_tokens ?? request.max_tokens
+  if (maxTokens !== undefined && !(Number.isInteger(maxTokens) && Number(maxTokens) > 0)) {
     throw new SpoolgateError('invalidRequest', 'send "max_tokens" as a whole number above 0')
   }
   return request
--- a/packages/router/src/server/callerRoutes.ts
+++ b/packages/router/src/server/callerRoutes.ts
@@ -46,13 +46,13 @@
 const EMPTY_CHAIN: PrefixChain = { scope: '', levels: [], totalTokens: 0 }
 
 /** Creates the keyring of a configuration, once for each version. */
-function createKeyringSource() {
-  let fleetSeen: Fleet | undefined
+function createKeyringCache() {
+  let cachedFleet: Fleet | undefined
   let keyring: CallerKeyring<TeamId> = createCallerKeyring([])
   return (fleet: Fleet) => {
-    if (fleet !== fleetSeen) {
+    if (fleet !== cachedFleet) {
       keyring = createCallerKeyring(fleet.callerKeys.map((key) => ({ ...key, owner: key.team })))
-      fleetSeen = fleet
+      cachedFleet = fleet
     }
     return keyring
   }
@@ -69,9 +69,9 @@
 /** Creates the routes. */
 export function createCallerRoutes(options: CallerRoutesOptions): Route[] {
   const { parts, limits, isStopping } = options
-  const findKeyring = createKeyringSource()
+  const findKeyring = createKeyringCache()
 
-  const accept = (exchange: HttpExchange): AcceptedRequest => {
+  const acceptRequest = (exchange: HttpExchange): AcceptedRequest => {
     const startedAt = parts.timers.now()
     const fleet = parts.config.current()
     if (!fleet) throw new SpoolgateError('controlUnavailable', 'no configuration yet; try later')
@@ -80,22 +80,22 @@
   }
   const createContext = (
     accepted: AcceptedRequest,
-    rest: Pick<
+    callFields: Pick<
       CallContext,
       'body' | 'path' | 'target' | 'chain' | 'weightsVersion' | 'session' | 'isStream' | 'tokens'
     >,
   ): CallContext => {
     const { exchange, team, startedAt } = accepted
     const { request, response } = exchange
-    const caller = new AbortController()
+    const callerAbort = new AbortController()
     response.once('close', () => {
-      if (!response.writableFinished) caller.abort()
+      if (!response.writableFinished) callerAbort.abort()
     })
     const deadlineMs = readDeadline(request)
     const id = toRequestId(createUniqueId('req'))
     response.setHeader(REQUEST_ID_HEADER, id)
     return {
-      ...rest,
+      ...callFields,
       request: id,
       team: team.id,
       parameters: team.parameters,
@@ -105,11 +105,11 @@
       deadline: deadlineMs === undefined ? undefined : startedAt + deadlineMs,
       startedAt,
       response,
-      callerSignal: caller.signal,
+      callerSignal: callerAbort.signal,
     }
   }
-  const relay = async (context: CallContext, exchange: HttpExchange, isOnce: boolean) => {
-    const given = isOnce ? readIdempotencyKey(exchange.request) : undefined
+  const relay = async (context: CallContext, exchange: HttpExchange, isAtMostOnce: boolean) => {
+    const callerKey = isAtMostOnce ? readIdempotencyKey(exchange.request) : undefined
     const release = await parts.limits.admit(context.team, context.parameters, context.tokens)
     try {
       // A caller's deadline bounds only the first token here, so that nothing says of a request
@@ -121,12 +121,12 @@
           {
             retryAfterSeconds: RETRY_WHILE_STOPPING_S,
             // An earlier send with the caller's key may have run.
-            notRun: given === undefined,
+            notRun: callerKey === undefined,
           },
         )
       }
-      if (!isOnce) return await relayRepeatable(parts, context)
-      const key = { key: given ?? createUniqueId('auto'), isCallers: given !== undefined }
+      if (!isAtMostOnce) return await relayRepeatable(parts, context)
+      const key = { key: callerKey ?? createUniqueId('auto'), isCallers: callerKey !== undefined }
       return await relayOnce(parts, context, key)
     } finally {
       release()
@@ -134,7 +134,7 @@
   }
 
   const serveGeneration = async (exchange: HttpExchange) => {
-    const accepted = accept(exchange)
+    const accepted = acceptRequest(exchange)
     const { fleet, team } = accepted
     const body = await readBody(exchange.request, limits)
     const generation = parseGenerationRequest(body, fleet, team)
@@ -152,7 +152,7 @@
     await relay(context, exchange, isUnrepeatable(exchange.request, undefined, exchange.path))
   }
   const serveModels = (exchange: HttpExchange) => {
-    const { fleet } = accept(exchange)
+    const { fleet } = acceptRequest(exchange)
     const data = [...fleet.models.values()].map(({ id }) => ({
       id,
       object: 'model',
@@ -162,7 +162,7 @@
     sendJson(exchange.response, 200, { object: 'list', data })
   }
   const serveService = async (exchange: HttpExchange) => {
-    const accepted = accept(exchange)
+    const accepted = acceptRequest(exchange)
     const service = findService(exchange.path, accepted.fleet)
     if (!service) {
       throw new SpoolgateError('unknownPath', `nothing answers ${exchange.path}; see the docs`)
--- a/packages/router/src/server/routerServer.ts
+++ b/packages/router/src/server/routerServer.ts
@@ -84,7 +84,7 @@
 
 const DEFAULT_BODY_LIMITS: BodyLimits = { maxBytes: 4 * 1024 * 1024, timeoutMs: 10_000 }
 const DEFAULT_DRAIN_MS = 60_000
-const DEFAULT_RETRY_RATIO = 0.1
+const DEFAULT_RETRY_BUDGET_RATIO = 0.1
 const DEFAULT_EJECTED_RATIO = 0.34
 /** Longest wait for the first configuration before listening, in ms. */
 const FIRST_CONFIG_WAIT_MS = 10_000
@@ -111,15 +111,15 @@
 }
 
 /** Keeps track of work that outlives the request that began it. */
-function createBackground() {
-  const running = new Set<Promise<unknown>>()
+function createBackgroundTasks() {
+  const pending = new Set<Promise<unknown>>()
   return {
-    add: (work: Promise<unknown>) => {
-      running.add(work)
-      void work.finally(() => running.delete(work))
+    add: (task: Promise<unknown>) => {
+      pending.add(task)
+      void task.finally(() => pending.delete(task))
     },
     waitUntilIdle: async () => {
-      while (running.size > 0) await Promise.allSettled([...running])
+      while (pending.size > 0) await Promise.allSettled([...pending])
     },
   }
 }
@@ -131,15 +131,15 @@
   const invariants = createInvariants({ logger, metrics, fatal: options.isFatal })
   const client = createHttpClient({ key: processKey, caFile: options.tls?.caFile })
   const { instance, sources } = options
-  const follower = { node: instance, sources, client, timers, logger, invariants }
-  const config = createConfigFollower(follower)
+  const followerOptions = { node: instance, sources, client, timers, logger, invariants }
+  const config = createConfigFollower(followerOptions)
   const state = createPolicyState()
   const findRouting = () => config.current()?.routing
   const ejection = createEjection({
     findMaxRatio: () => findRouting()?.maxEjectedRatio ?? DEFAULT_EJECTED_RATIO,
   })
   const decisions = createDecisionLog(logger)
-  const background = createBackground()
+  const background = createBackgroundTasks()
   const control = createControlClient({ urls: options.control, client, timers })
   const limits = createTeamLimits({ router: instance, control, timers, logger })
   const parts: RelayParts = {
@@ -166,7 +166,7 @@
     decisions,
     state,
     ejection,
-    budget: createRetryBudget(() => findRouting()?.retryBudgetRatio ?? DEFAULT_RETRY_RATIO),
+    budget: createRetryBudget(() => findRouting()?.retryBudgetRatio ?? DEFAULT_RETRY_BUDGET_RATIO),
     instruments: createInstruments(metrics),
     background: background.add,
   }
