--- a/packages/router/src/limits/quotaAdmission.ts
+++ b/packages/router/src/limits/quotaAdmission.ts
@@ -1,6 +1,6 @@
 /**
- * Admission of sends by the limits of teams. Mostly the credits at hand decide at once; a request that lacks them waits for one question to
- * the leader, which all requests that come meanwhile share.
+ * Admits or refuses sends by the quota of their team. The credits held by this router usually decide at once. A request
+ * without enough credits waits for a query to the leader, which is batched with the other waiting requests.
  */
 import { formatQuotaKey, QUOTA_PATH, type QuotaGrants } from '@spoolgate/control'
 import { createTimeLimit, type HttpClient, type Logger, type TimerService } from '@spoolgate/core'
@@ -13,30 +13,30 @@
   readonly client: Pick<HttpClient, 'sendJson'>
   readonly timers: TimerService
   readonly logger: Logger
-  /** URL of the leader; undefined while none is known. */
+  /** Returns the URL of the leader; undefined while none is known. */
   readonly findLeaderUrl: () => string | undefined
 }
 
-/** Whether a send may begin. */
+/** The decision on a send. */
 export type QuotaVerdict =
   { readonly kind: 'admitted' } | ({ readonly kind: 'refused' } & CreditStatus)
 
-/** See {@link createQuotaAdmission}. */
+/** See {@link createQuotaAdmission}. Sends that were admitted but not run by any server are refunded. */
 export interface QuotaAdmission {
-  /** Admits a send, or refuses it; what was admitted and did not run is given back. */
+  /** Admits or refuses a send. */
   admit(charge: QuotaCharge): Promise<QuotaVerdict>
   refund(charge: QuotaCharge): void
 }
 
-/** Longest wait for the leader's answer, in ms. */
+/** Timeout of a query to the leader, in ms. */
 const REPLY_TIMEOUT_MS = 150
-/** Requests that wait at a time; more are refused at once. */
+/** Maximum number of waiting requests; further ones are refused at once. */
 const MAX_WAITING = 256
-/** Questions after which a request without an answer of its own is refused. */
+/** Number of queries after which a request is refused if no reply covers its team. */
 const MAX_QUERIES = 2
-/** Teams whose last refusal is remembered. */
+/** Maximum number of teams whose last refusal is remembered. */
 const MAX_RECENT_REFUSALS = 1_000
-/** Time after a refusal for which a team is refused without asking, in ms. */
+/** Time after a refusal for which a team is refused without another query, in ms. */
 const REFUSAL_TTL_MS = 30
 
 interface WaitingRequest {
@@ -45,7 +45,7 @@
   resolve(verdict: QuotaVerdict): void
 }
 
-/** Creates the admission of one router. */
+/** Creates the quota admission of one router. */
 export function createQuotaAdmission(options: QuotaAdmissionOptions): QuotaAdmission {
   const { credits, client, timers, logger, findLeaderUrl } = options
   const refusedUntil = new LRUCache<string, number>({ max: MAX_RECENT_REFUSALS })
@@ -80,7 +80,7 @@
       timeout.close()
     }
   }
-  /** Settles a request that was asked for; false where the answer says nothing of its team. */
+  /** Settles a request after a query; returns false if the reply does not cover its team, so that it is queried again. */
   const settleRequest = (request: WaitingRequest, grants: QuotaGrants | undefined): boolean => {
     const { charge } = request
     if (credits.take(charge, timers.promiseNow())) {
--- a/packages/router/src/limits/quotaCredits.ts
+++ b/packages/router/src/limits/quotaCredits.ts
@@ -1,6 +1,7 @@
 /**
- * A router's credits of the teams' limits, as the leader granted them. Facts in, verdicts out; no clock and no socket. While a team has room,
- * a router may use some of its share ahead; while it is scarce, each request needs its credits; without a leader, a share of the rate is left.
+ * The team quota credits that the leader has granted to a router. Has no timers and does no I/O: callers pass in the time
+ * and the messages. While a team is not scarce, a router may overdraw its credits; while it is scarce, each request needs
+ * enough credits. Without contact to the leader, a router uses a share of the rate on its own.
  */
 import {
   CREDIT_TTL_MS,
@@ -17,14 +18,14 @@
 /** Options of {@link createQuotaCredits}. */
 export interface QuotaCreditsOptions {
   readonly router: string
-  /** One life of this process. */
+  /** Identifier of one run of this process. */
   readonly incarnation: string
-  /** Counts the routers that polled lately, this one included. */
+  /** Counts the routers that polled the leader recently, including this one. */
   readonly countRouters: () => number
   readonly random: RandomSource
 }
 
-/** A use of a team's limit by one send. */
+/** The amount that one send takes from a team's quota. */
 export interface QuotaCharge {
   readonly team: TeamId
   readonly quota: TeamQuota
@@ -32,46 +33,46 @@
   readonly cost: number
 }
 
-/** Figures behind a verdict, for the log. */
+/** State of a team's credits, for the log and for retry delays. */
 export interface CreditStatus {
   readonly held: number
   readonly isScarce: boolean
-  /** Time since the leader was last asked with success, in ms. */
+  /** Time since the last successful request to the leader was sent, in ms. */
   readonly contactAgeMs: number
   readonly retryAfterMs: number
 }
 
-/** See {@link createQuotaCredits}. Instants are in ms of the clock for promises. */
+/** See {@link createQuotaCredits}. Times are in ms of `timers.promiseNow()`. */
 export interface QuotaCredits {
-  /** Takes the credits of a send; false where they are missing. */
+  /** Takes the credits for a send; returns false if there are not enough. */
   take(charge: QuotaCharge, now: number): boolean
-  /** Gives back the credits of a send that no server ran. */
+  /** Returns the credits of a send that no server ran. */
   refund(charge: QuotaCharge): void
-  /** Whether it is of use to ask the leader for more. */
+  /** Whether the leader was reached recently, so that it is worth requesting more credits. */
   hasLeaderContact(now: number): boolean
-  /** Builds the report of what changed, with the costs of requests that wait. */
+  /** Builds the report of changed limits, with the costs of the waiting requests. */
   buildReport(waiting: readonly QuotaCharge[], now: number): QuotaReport
   applyGrants(grants: QuotaGrants, requestedAt: number): void
   findStatus(charge: QuotaCharge, now: number): CreditStatus
 }
 
-/** Time over which demand is averaged, in ms. */
+/** Time constant of the exponential average of demand, in ms. */
 const DEMAND_DECAY_MS = 1_000
-/** Time whose demand should be covered by credits held, in ms. */
+/** Time for which prefetched credits cover the demand, in ms. */
 const PREFETCH_MS = 100
-/** Credits beyond this multiple of the prefetch are given back. */
+/** Credits beyond this multiple of the prefetch are returned to the leader. */
 const SURPLUS_RATIO = 2
-/** Time whose even share a router may use ahead while a team has room, in ms. */
+/** Maximum overdraft while a team is not scarce, as time at an equal share of the rate, in ms. */
 const OVERDRAFT_MS = 2_000
-/** Part of an even share that a router uses without a leader while a team is scarce. */
+/** Fraction of an equal share that a router uses without a leader while a team is scarce. */
 const SCARCE_SHARE_RATIO = 0.5
-/** Time whose share may be saved up without a leader, in ms. */
+/** Maximum unused share accumulated without a leader, as time at that share, in ms. */
 const OFFLINE_BURST_MS = 1_000
-/** Reports without an answer that are remembered. */
+/** Maximum number of unacknowledged reports that are remembered. */
 const MAX_IN_FLIGHT_REPORTS = 64
-/** Limits of teams that are remembered: several times those of a large fleet. */
+/** Maximum number of team limits that are remembered: several times those of a large fleet. */
 const MAX_TEAM_LIMITS = 5_000
-/** Retry delay where no leader named one, in ms. */
+/** Retry delay if the leader has sent none, in ms. */
 const DEFAULT_RETRY_MS = 300
 const MS_PER_S = 1_000
 
@@ -79,26 +80,26 @@
   held: number
   seen: number
   returned: number
-  /** Units a second, decaying. */
+  /** Exponentially decaying average, in units per second. */
   demand: number
   demandUpdatedAt: number
-  /** What draws without a leader took less than they cost. */
+  /** Sum of cost minus covered cost over the random overdrafts without a leader; makes the covered cost count, not the outcome. */
   overdraftCorrection: number
-  /** Until when a share was added. */
+  /** Time up to which this router's own share has been added. */
   shareAddedUntil: number
   retryAfterMs: number
-  /** Rises with each change of what is held. */
+  /** Increases with each change of the credits. */
   revision: number
-  /** `changes` as the leader knows it. */
+  /** The newest revision that the leader has acknowledged. */
   reportedRevision: number
 }
 
-/** Creates credits of nobody. */
+/** Creates an empty set of credits. */
 export function createQuotaCredits(options: QuotaCreditsOptions): QuotaCredits {
   const { router, incarnation, countRouters, random } = options
-  /** By key of their limit. */
+  /** Credits by the key of their limit. */
   const creditsByKey = new Map<string, TeamCredits>()
-  /** `changes` of the teams in each report that is not answered. */
+  /** Revisions of the limits in each unacknowledged report, by sequence. */
   const inFlight = new Map<number, ReadonlyMap<string, number>>()
   let scarce: ReadonlySet<string> = new Set()
   let lastContactAt = -Infinity
@@ -132,13 +133,13 @@
   const findContactDeadline = () => lastContactAt + findContactTimeoutMs(countRouters())
   const findEqualShare = ({ quota }: QuotaCharge): number =>
     quota.perSecond / Math.max(1, countRouters()) / MS_PER_S
-  /** Finds what this router may use without a leader, in units a ms: for a team with room, at least what it used before. */
+  /** Finds the rate that this router may use without a leader, in units per ms: unless scarce, at least the rate used before. */
   const findOfflineShare = (credits: TeamCredits, charge: QuotaCharge, now: number): number => {
     const equalShare = findEqualShare(charge)
     if (isScarce(charge)) return SCARCE_SHARE_RATIO * equalShare
     return Math.max(equalShare, findDemand(credits, now) / MS_PER_S)
   }
-  /** Adds this router's share of the rate for the time without a leader. */
+  /** Adds this router's own share of the rate for the time without a leader. */
   const addOfflineShare = (credits: TeamCredits, charge: QuotaCharge, now: number) => {
     if (now - lastContactAt > CREDIT_TTL_MS) credits.held = Math.min(0, credits.held)
     const since = Math.max(credits.shareAddedUntil, findContactDeadline())
@@ -150,9 +151,10 @@
     credits.revision += 1
   }
   /**
-   * Decides whether a send may use more than the credits held. Routers together use no more ahead than the rate of {@link OVERDRAFT_MS}, and in
-   * touch with the leader one request besides, which the next poll reports. Without a leader a request beyond this router's part goes with
-   * the probability that the part covers, so that large ones are not all refused where there are many routers.
+   * Decides whether a send may use more than the credits held. All routers together overdraw by at most the rate of
+   * {@link OVERDRAFT_MS}; with contact to the leader each may add one request, which its next poll reports. Without a
+   * leader, a request above this router's allowance is admitted with the probability that the allowance covers its cost,
+   * so that large requests are not all refused when there are many routers.
    */
   const drawOverdraft = (credits: TeamCredits, charge: QuotaCharge, now: number): boolean => {
     if (lastContactAt === -Infinity || isScarce(charge)) return false
@@ -172,7 +174,7 @@
   }
   const findPrefetch = (credits: TeamCredits, now: number): number =>
     (findDemand(credits, now) * PREFETCH_MS) / MS_PER_S
-  /** Credits that an idle router keeps are missing elsewhere. */
+  /** Credits that an idle router keeps are not available to other routers. */
   const isSurplus = (credits: TeamCredits, now: number): boolean =>
     credits.held > SURPLUS_RATIO * findPrefetch(credits, now) + 1
   const buildUse = (
@@ -194,7 +196,7 @@
     const credits = creditsByKey.get(key)
     if (!credits) return
     credits.retryAfterMs = retryAfterMs
-    // Answers overtake each other; each names the sum of all credits.
+    // Replies can arrive out of order; each contains the cumulative credits.
     if (granted <= credits.seen) return
     credits.held += granted - credits.seen
     credits.seen = granted
@@ -222,7 +224,7 @@
       const credits = findCredits(formatKey(charge), now)
       addOfflineShare(credits, charge, now)
       if (credits.held < cost && !drawOverdraft(credits, charge, now)) return false
-      // What is used without a leader does not raise the share that is used without one.
+      // Use without a leader must not raise the share that a router uses without a leader.
       if (now <= findContactDeadline()) recordDemand(credits, cost, now)
       credits.held -= cost
       credits.revision += 1
--- a/packages/router/src/limits/serverLimits.ts
+++ b/packages/router/src/limits/serverLimits.ts
@@ -1,70 +1,71 @@
 /**
- * Keeps a router within its part of the rate limits that servers name for all routers together. Facts in, verdicts out;
- * no clock and no socket. Without a part of a limited server's rate, a router sends nothing there.
+ * Keeps a router within its share of the rate limits that servers announce for all routers together. Has no timers and
+ * does no I/O: callers pass in the time and the messages. A router without a share of a limited server's rate sends it
+ * nothing.
  */
 import type { AssignedLimit, LimitReport, LimitsUpdate, ObservedLimits } from '@spoolgate/control'
 import type { BackendServerId } from '@spoolgate/core'
 import { CARRY_OVER_MS } from '@spoolgate/routing'
 import { LRUCache } from 'lru-cache'
 
-/** Whether a limit permits a request now. */
+/** Whether a rate limit permits a request now. */
 export type LimitVerdict =
   | { readonly kind: 'open' }
-  /** Nothing until then, an instant of the clock that the facts were dated by, in ms. */
+  /** No request before `until`, in ms of the clock passed as `now`. */
   | { readonly kind: 'limited'; readonly until: number }
 
-/** What an answer of a server shows of its limit. */
+/** The rate limit in a server's response. */
 export interface LimitObservation {
-  /** Requests a second from all routers together; undefined where the server names no limit. */
+  /** Requests per second from all routers together; undefined if the server announces no limit. */
   readonly perSecond: number | undefined
   /** When the request was sent, in ms. */
   readonly sentAt: number
 }
 
-/** See {@link createServerLimits}. Instants are in ms of one monotonic clock. */
+/** See {@link createServerLimits}. Times are in ms of one monotonic clock. */
 export interface ServerLimits {
-  /** Records what an answer to this router shows; true where the limit changed. */
+  /** Records the limit in a response to this router; returns whether the limit changed. */
   recordResponse(server: BackendServerId, observation: LimitObservation, now: number): boolean
-  /** Applies what the leader knows from all routers, as of an instant at or after `askedAt`. */
+  /** Applies the limits known to the leader, as of some time at or after `requestedAt`. */
   applyUpdate(update: LimitsUpdate, requestedAt: number, now: number): void
   recordSend(server: BackendServerId, now: number): void
   judgeSend(server: BackendServerId, now: number): LimitVerdict
-  /** Keeps a recent limit for the next start of a server, which may have been the one that named it. */
+  /** Copies a recent limit to the next incarnation of a server, which may be the one that announced it. */
   carryOver(before: BackendServerId, after: BackendServerId, now: number): void
   isLimited(server: BackendServerId): boolean
-  /** Whether a limit that permits a request was not confirmed lately. */
+  /** Whether a limit that permits a request now has not been confirmed recently. */
   isProbeDue(server: BackendServerId, now: number): boolean
   countLimited(): number
-  /** Lists this router's own observations that the leader of a term has not acknowledged. */
+  /** Lists this router's observations that the leader of a term has not acknowledged. */
   listUnreported(term: number, now: number): ObservedLimits
   recordAcknowledged(observed: ObservedLimits): void
 }
 
-/** Lowest rate to a limited server, in requests a second: without any, nobody sees that the limit is gone. */
+/** Minimum rate to a limited server, in requests per second: without requests, no router sees that the limit is withdrawn. */
 const MIN_RATE = 0.5
-/** Time without an answer after which a limited server should get a request, in ms. */
+/** Time without a response after which a limited server is probed, in ms. */
 const PROBE_AFTER_MS = 2_000
-/** Time for which unused rate is saved up, in ms. */
+/** Capacity of the token bucket, as time at the permitted rate, in ms. */
 const BURST_MS = 1_000
-/** Time after which an unchanged limit is reported again, in ms. */
+/** Interval at which an unchanged limit is reported again, in ms. */
 const REPORT_PERIOD_MS = 2_000
-/** Retry delay for a server of whose rate this router has no part, in ms. */
+/** Retry delay for a server whose rate this router has no share of, in ms. */
 const NO_SHARE_RETRY_MS = 1_000
-/** Incarnations that are remembered: several times those of a large fleet. */
+/** Maximum number of server incarnations that are remembered: several times those of a large fleet. */
 const MAX_SERVERS = 5_000
 const MS_PER_S = 1_000
 
 interface LimitState {
-  /** Undefined for no limit. */
+  /** Undefined if there is no limit. */
   perSecond: number | undefined
-  /** When this was observed, here or at another router. */
+  /** When this was observed, by this or another router. */
   at: number
-  /** Whether an answer to this router showed it. */
+  /** Whether it was observed in a response to this router. */
   isOwn: boolean
-  /** What the leader acknowledged last. */
+  /** The report that the leader acknowledged last. */
   acknowledged:
     { readonly term: number; readonly report: LimitReport; readonly at: number } | undefined
-  /** Part of the rate that this router may use, 0 to 1. */
+  /** Fraction of the rate that this router may use, 0 to 1. */
   share: number
   tokens: number
   filledAt: number
@@ -76,7 +77,7 @@
   return (share * Math.max(MIN_RATE, perSecond)) / MS_PER_S
 }
 
-function refillBucket(state: LimitState, now: number): void {
+function settleBucket(state: LimitState, now: number): void {
   const ratePerMs = findRatePerMs(state)
   const capacity = ratePerMs === 0 ? 0 : Math.max(1, ratePerMs * BURST_MS)
   const elapsedMs = Math.max(0, now - state.filledAt)
@@ -84,12 +85,12 @@
   state.filledAt = now
 }
 
-/** Whether a limit allows more than another; no limit allows the most. */
+/** Whether limit `a` allows more than limit `b`; undefined is unlimited. */
 function isHigherLimit(a: number | undefined, b: number | undefined): boolean {
   return (a ?? Infinity) > (b ?? Infinity)
 }
 
-/** Creates a record without limits. */
+/** Creates an empty set of server limits. */
 export function createServerLimits(): ServerLimits {
   const states = new LRUCache<BackendServerId, LimitState>({ max: MAX_SERVERS })
 
@@ -107,14 +108,14 @@
     return state
   }
   const setLimit = (state: LimitState, perSecond: number | undefined, now: number) => {
-    refillBucket(state, now)
+    settleBucket(state, now)
     if (state.perSecond === undefined) state.tokens = Math.min(0, state.tokens)
     state.perSecond = perSecond
   }
   const applyAssignedLimit = (assigned: AssignedLimit, requestedAt: number, now: number) => {
     const server = assigned.server as BackendServerId
     const perSecond = assigned.perSecond ?? undefined
-    // Dated late, a limit is kept for longer; dated early, the end of one is no newer than it was.
+    // The exact age is unknown: a limit gets the latest possible time and so stays longer, a withdrawal the earliest.
     const at = (perSecond === undefined ? requestedAt : now) - assigned.ageMs
     const existing = states.get(server)
     if (!existing) return perSecond === undefined ? undefined : addState(server, perSecond, at, now)
@@ -129,7 +130,7 @@
     }
     return existing
   }
-  /** Own observations that the leader does not know are reported again; those of others are dropped. */
+  /** Reports this router's observations that the leader does not list again, and removes those of other routers. */
   const reconcileMissing = (listed: ReadonlySet<string>) => {
     for (const [server, state] of states) {
       if (listed.has(server)) continue
@@ -154,7 +155,7 @@
       const existing = states.get(server)
       if (!existing && perSecond === undefined) return false
       const state = existing ?? addState(server, perSecond ?? 0, now, now)
-      // Responses can arrive out of order: only a request sent after the newest one shows a looser limit.
+      // Responses can arrive out of order: only a request sent after the newest one may raise a limit.
       if (isHigherLimit(perSecond, state.perSecond) && sentAt < state.at) return false
       const isChanged = !existing || state.perSecond !== perSecond
       if (isChanged) setLimit(state, perSecond, now)
@@ -165,7 +166,7 @@
       for (const assigned of servers) {
         const state = applyAssignedLimit(assigned, requestedAt, now)
         if (!state || !hasParts) continue
-        refillBucket(state, now)
+        settleBucket(state, now)
         state.share = assigned.part ?? 0
       }
       if (hasParts) reconcileMissing(new Set(servers.map(({ server }) => server)))
@@ -173,13 +174,13 @@
     recordSend: (server, now) => {
       const state = states.get(server)
       if (!state) return
-      refillBucket(state, now)
+      settleBucket(state, now)
       state.tokens -= 1
     },
     judgeSend: (server, now) => {
       const state = states.get(server)
       if (state?.perSecond === undefined) return OPEN
-      refillBucket(state, now)
+      settleBucket(state, now)
       if (state.tokens >= 1) return OPEN
       const ratePerMs = findRatePerMs(state)
       const waitMs = ratePerMs === 0 ? NO_SHARE_RETRY_MS : (1 - state.tokens) / ratePerMs
@@ -194,7 +195,7 @@
     isProbeDue: (server, now) => {
       const state = states.get(server)
       if (state?.perSecond === undefined || now - state.at < PROBE_AFTER_MS) return false
-      refillBucket(state, now)
+      settleBucket(state, now)
       return state.tokens >= 1
     },
     countLimited: () =>
--- a/packages/router/src/limits/teamLimits.ts
+++ b/packages/router/src/limits/teamLimits.ts
@@ -1,6 +1,6 @@
 /**
- * Limits of teams at one router. It uses only the shares that control has handed it, and none of
- * them past their expiry, counted from when it asked; so the sum over routers stays in the limit.
+ * Enforces team limits at one router. A router uses only the shares that control has granted to it, and only until they
+ * expire, counted from when it sent the request, so that all routers together stay within the limit.
  */
 import type { TeamParameters } from '@spoolgate/config'
 import {
@@ -21,10 +21,10 @@
   readonly logger: Logger
 }
 
-/** Limits of all teams. */
+/** See {@link createTeamLimits}. */
 export interface TeamLimits {
   /**
-   * Admits a request of a team; the function that it returns ends it.
+   * Admits a request of a team. Call the returned function when the request ends.
    * @throws SpoolgateError `limitReached`.
    */
   admit(team: TeamId, parameters: TeamParameters, tokens: number): Promise<() => void>
@@ -35,11 +35,11 @@
   shares: LimitAmounts
   expiresAt: number
   running: number
-  /** What the buckets of the rates hold. */
+  /** Levels of the token buckets of the request and token rates. */
   requests: number
   tokens: number
   filledAt: number
-  /** Amounts that were asked for since the last renewal. */
+  /** Demand since the last renewal of the shares. */
   demandedRequests: number
   demandedTokens: number
   peakRunning: number
@@ -47,7 +47,7 @@
 
 const RENEW_PERIOD_MS = 1_000
 const MS_PER_SECOND = 1_000
-/** Seconds of a rate that a bucket can hold. */
+/** Capacity of a bucket, as seconds at its rate. */
 const BURST_SECONDS = 1
 
 function isLimited(parameters: TeamParameters): boolean {
@@ -59,7 +59,7 @@
     shares: {},
     expiresAt: -Infinity,
     running: 0,
-    // Buckets start full; what they can hold is bounded when they are first looked at.
+    // Buckets start full; the first refill bounds them to their capacity.
     requests: Infinity,
     tokens: Infinity,
     filledAt: now,
@@ -69,12 +69,12 @@
   }
 }
 
-/** Fills a bucket at a rate; it holds at least one request. */
-function refillBucket(level: number, rate: number, seconds: number, minCapacity: number): number {
+/** Returns the level of a bucket after a refill; its capacity is at least `minCapacity`, so that one request fits. */
+function addToBucket(level: number, rate: number, seconds: number, minCapacity: number): number {
   return Math.min(Math.max(minCapacity, rate * BURST_SECONDS), level + rate * seconds)
 }
 
-/** Creates limits without any share. */
+/** Creates team limits without any shares. */
 export function createTeamLimits(options: TeamLimitsOptions): TeamLimits {
   const { control, timers, logger, router } = options
   const usageByTeam = new Map<TeamId, TeamUsage>()
@@ -129,8 +129,8 @@
     const now = timers.now()
     const seconds = (now - usage.filledAt) / MS_PER_SECOND
     const { requestsPerSecond = 0, tokensPerSecond = 0 } = usage.shares
-    usage.requests = refillBucket(usage.requests, requestsPerSecond, seconds, 1)
-    usage.tokens = refillBucket(usage.tokens, tokensPerSecond, seconds, tokens)
+    usage.requests = addToBucket(usage.requests, requestsPerSecond, seconds, 1)
+    usage.tokens = addToBucket(usage.tokens, tokensPerSecond, seconds, tokens)
     usage.filledAt = now
   }
   const findReachedLimit = (
@@ -138,7 +138,7 @@
     parameters: TeamParameters,
     tokens: number,
   ): LimitKind | undefined => {
-    // The ledger gives an expired share to others, also while this machine is suspended.
+    // Control grants an expired share to other routers, even while this machine is suspended.
     const isValid = timers.promiseNow() < usage.expiresAt
     const isWithin: Record<LimitKind, () => boolean> = {
       concurrentRequests: () => usage.running + 1 <= (usage.shares.concurrentRequests ?? 0),
@@ -168,7 +168,7 @@
       usage.demandedTokens += tokens
       usage.peakRunning = Math.max(usage.peakRunning, usage.running + 1)
       refill(usage, tokens)
-      // Shares follow demand: before a refusal this router asks whether there is more for it.
+      // Shares follow demand: request a larger share before refusing.
       if (findReachedLimit(usage, parameters, tokens)) {
         await renew()
         refill(usage, tokens)
--- a/packages/router/src/server/callerRequest.ts
+++ b/packages/router/src/server/callerRequest.ts
@@ -1,4 +1,4 @@
-/** Reading of callers' requests: who sends it, what it asks for, and whether it may be repeated. */
+/** Reads callers' requests: the team, the requested operation and whether it may be retried. */
 import type { IncomingMessage } from 'node:http'
 import type { Fleet, Model, ServiceRoute, Team } from '@spoolgate/config'
 import {
@@ -14,21 +14,21 @@
 /** Headers that callers may send. */
 export const CALLER_HEADERS = {
   idempotencyKey: 'idempotency-key',
-  /** `false` marks a request that must run at most once. */
+  /** `false` marks a request that must be executed at most once. */
   repeatable: 'x-spoolgate-repeatable',
   priority: 'x-spoolgate-priority',
-  /** Milliseconds until the first token must be there. */
+  /** Deadline of the first token, in ms. */
   deadline: 'x-spoolgate-deadline-ms',
   session: 'x-spoolgate-session',
 } as const
 
-/** Tokens that an answer without a bound is counted as. */
+/** Maximum number of generated tokens that is assumed if the caller sets none. */
 const DEFAULT_MAX_TOKENS = 256
 const MAX_PRIORITY = 9
 const MAX_KEY_LENGTH = 256
 const DEFAULT_CONTENT_TYPE = 'application/json'
 
-/** Paths of engines that callers may use. */
+/** Engine paths that callers may use. */
 export const GENERATION_PATHS = ['/v1/chat/completions', '/v1/completions'] as const
 
 /** A generation request with its prefix chain. */
@@ -36,14 +36,14 @@
   readonly model: Model
   readonly chain: PrefixChain
   readonly isStream: boolean
-  /** Most tokens that may be generated, as the caller set it or by default. */
+  /** Maximum number of generated tokens, set by the caller or the default. */
   readonly maxTokens: number
-  /** Session that the caller named in the body. */
+  /** Session from the `user` field of the body. */
   readonly user: string | undefined
 }
 
 /**
- * Finds the team of a caller.
+ * Finds the team of a caller by its bearer key.
  * @throws SpoolgateError `missingKey` or `wrongKey`.
  */
 export function findTeam(
@@ -78,7 +78,7 @@
   return request
 }
 
-/** Parses a generation request and builds the chain of its prompt. */
+/** Parses a generation request and builds the prefix chain of its prompt. */
 export function parseGenerationRequest(body: Buffer, fleet: Fleet, team: Team): GenerationRequest {
   const request = checkGenerationBody(parseJsonBody(body))
   const model = fleet.models.get(String(request.model))
@@ -97,7 +97,7 @@
   }
 }
 
-/** Finds the plain services that answer a path; the longest prefix wins. */
+/** Finds the plain service that serves a path; the longest matching prefix wins. */
 export function findService(path: string, fleet: Fleet): ServiceRoute | undefined {
   const matching = fleet.services.filter(
     ({ prefix }) => path === prefix || path.startsWith(`${prefix.replace(/\/$/, '')}/`),
@@ -110,7 +110,7 @@
   return path.startsWith(pattern.slice(0, -1))
 }
 
-/** Whether a call to a plain service runs at most once, by its route or by the caller's header. */
+/** Whether a request must be executed at most once, by the rules of its service or by the caller's header. */
 export function isUnrepeatable(
   request: IncomingMessage,
   service: ServiceRoute | undefined,
@@ -133,26 +133,26 @@
   return Array.isArray(value) ? value[0] : value
 }
 
-/** Reads the priority of a request; the team's own when the caller names none. */
+/** Reads the priority of a request; defaults to that of the team. */
 export function readPriority(request: IncomingMessage, team: Team): number {
   const text = readHeader(request, CALLER_HEADERS.priority)
   if (text === undefined) return team.parameters.priority
   return parseWholeNumber(text, CALLER_HEADERS.priority, MAX_PRIORITY)
 }
 
-/** Reads how long the caller waits for the first token, in ms. */
+/** Reads the deadline of the first token, in ms after the request. */
 export function readDeadline(request: IncomingMessage): number | undefined {
   const text = readHeader(request, CALLER_HEADERS.deadline)
   if (text === undefined) return undefined
   return parseWholeNumber(text, CALLER_HEADERS.deadline, Number.MAX_SAFE_INTEGER)
 }
 
-/** Reads the session that keeps requests on one policy. */
+/** Reads the session, whose requests are all routed by the same policy. */
 export function readSession(request: IncomingMessage): string | undefined {
   return readHeader(request, CALLER_HEADERS.session)
 }
 
-/** Reads the caller's idempotency key. */
+/** Reads and checks the caller's idempotency key. */
 export function readIdempotencyKey(request: IncomingMessage): string | undefined {
   const key = readHeader(request, CALLER_HEADERS.idempotencyKey)
   if (key === undefined || (key.length > 0 && key.length <= MAX_KEY_LENGTH)) return key
@@ -162,12 +162,12 @@
   )
 }
 
-/** Reads the content type of a request. */
+/** Reads the content type of a request, JSON by default. */
 export function readContentType(request: IncomingMessage): string {
   return readHeader(request, 'content-type') ?? DEFAULT_CONTENT_TYPE
 }
 
-/** Bounds on what callers send. */
+/** Limits on the size and duration of callers' requests. */
 export interface CallerLimits extends BodyLimits {
   readonly headersTimeoutMs: number
   readonly maxHeaderBytes: number
--- a/packages/router/src/server/callerRoutes.ts
+++ b/packages/router/src/server/callerRoutes.ts
@@ -1,4 +1,4 @@
-/** The callers' interface: OpenAI-style generation, the list of models, and plain services. */
+/** HTTP routes for callers: OpenAI-compatible generation, the model list and plain services. */
 import type { Fleet, Team } from '@spoolgate/config'
 import {
   createCallerKeyring,
@@ -35,17 +35,17 @@
 export interface CallerRoutesOptions {
   readonly parts: RelayParts
   readonly limits: BodyLimits
-  /** Whether this router is being stopped, so that it begins nothing more. */
+  /** Whether this router is shutting down and must not start further requests. */
   readonly isStopping: () => boolean
 }
 
-/** Header that names the request, for `spoolgate explain`. */
+/** Response header with the request id, for `spoolgate explain`. */
 export const REQUEST_ID_HEADER = 'x-request-id'
-/** Seconds after which a caller that a stopping router refused may turn to another one. */
+/** Retry delay for callers that a router refuses while it shuts down, in seconds. */
 const RETRY_WHILE_STOPPING_S = 1
 const EMPTY_CHAIN: PrefixChain = { scope: '', levels: [], totalTokens: 0 }
 
-/** Creates the keyring of a configuration, once for each version. */
+/** Creates a function that builds the keyring of a configuration once per version. */
 function createKeyringCache() {
   let cachedFleet: Fleet | undefined
   let keyring: CallerKeyring<TeamId> = createCallerKeyring([])
@@ -58,7 +58,7 @@
   }
 }
 
-/** What is known of a request before its body is understood. */
+/** A request of a known team, before its body is parsed. */
 interface AcceptedRequest {
   readonly exchange: HttpExchange
   readonly fleet: Fleet
@@ -66,7 +66,7 @@
   readonly startedAt: number
 }
 
-/** Creates the routes. */
+/** Creates the routes for callers. */
 export function createCallerRoutes(options: CallerRoutesOptions): Route[] {
   const { parts, limits, isStopping } = options
   const findKeyring = createKeyringCache()
@@ -112,15 +112,15 @@
     const callerKey = isAtMostOnce ? readIdempotencyKey(exchange.request) : undefined
     const release = await parts.limits.admit(context.team, context.parameters, context.tokens)
     try {
-      // A caller's deadline bounds only the first token here, so that nothing says of a request
-      // that it is over before the stop cuts it off.
+      // The caller's deadline only bounds the first token, so it cannot tell whether a request would end before the
+      // shutdown cuts it off.
       if (isStopping()) {
         throw new SpoolgateError(
           'instanceStopping',
           'this instance stops; send it to another one',
           {
             retryAfterSeconds: RETRY_WHILE_STOPPING_S,
-            // An earlier send with the caller's key may have run.
+            // An earlier request with the caller's idempotency key may have run.
             notRun: callerKey === undefined,
           },
         )
--- a/packages/router/src/server/routerServer.ts
+++ b/packages/router/src/server/routerServer.ts
@@ -1,4 +1,4 @@
-/** A router: the entry process that callers talk to. It holds nothing that a restart would miss. */
+/** The router process, which accepts callers' requests. It keeps no state that a restart must preserve. */
 import {
   createDaemonRoutes,
   createHttpClient,
@@ -40,9 +40,9 @@
   readonly region: string
   readonly host: string
   readonly port: number
-  /** Control instances, and any peers, that serve the configuration. */
+  /** URLs of the control instances and other peers that serve the configuration. */
   readonly sources: readonly string[]
-  /** Control instances, for claims. */
+  /** URLs of the control instances that manage claims. */
   readonly control: readonly string[]
   readonly processKey: string
   readonly logger: Logger
@@ -56,17 +56,17 @@
   /** @default 16384 */
   readonly maxHeaderBytes?: number
   /**
-   * Whether a violated invariant ends the run.
+   * Whether an invariant violation terminates the process.
    * @default false
    */
   readonly isFatal?: boolean
   /**
-   * Seed of the choices among equals.
-   * @default drawn from the clock
+   * Seed of the random choices between equally ranked servers.
+   * @default derived from the clock
    */
   readonly seed?: number
   /**
-   * Full knowledge of the backend servers, for the oracle of benchmarks.
+   * Returns the exact cache contents of the backend servers, for the oracle policy of benchmarks.
    * @default undefined
    */
   readonly findExactHints?: ServerSelectorOptions['findExactHints']
@@ -78,7 +78,7 @@
   readonly config: ConfigFollower
   readonly invariants: Invariants
   readonly metrics: Metrics
-  /** Planned stop: takes no new request, waits up to `drainMs` for those in progress. */
+  /** Shuts down gracefully: accepts no new requests and waits up to `drainMs` for those in progress. */
   close(drainMs?: number): Promise<CloseReport>
 }
 
@@ -86,7 +86,7 @@
 const DEFAULT_DRAIN_MS = 60_000
 const DEFAULT_RETRY_BUDGET_RATIO = 0.1
 const DEFAULT_EJECTED_RATIO = 0.34
-/** Longest wait for the first configuration before listening, in ms. */
+/** Maximum wait for the first configuration before the server listens, in ms. */
 const FIRST_CONFIG_WAIT_MS = 10_000
 
 function createInstruments(metrics: Metrics): RouterInstruments {
@@ -110,7 +110,7 @@
   }
 }
 
-/** Keeps track of work that outlives the request that began it. */
+/** Tracks tasks that outlive the request that started them. */
 function createBackgroundTasks() {
   const pending = new Set<Promise<unknown>>()
   return {
@@ -124,7 +124,7 @@
   }
 }
 
-/** Creates a router; it listens once it has a configuration, so its first request is served. */
+/** Creates a router. It listens only once it has a configuration, so that it can serve the first request. */
 export async function createRouter(options: RouterOptions): Promise<Router> {
   const { logger, timers, processKey } = options
   const metrics = createMetrics('router')
