--- a/packages/router/src/__tests__/limitSimulation.spec.ts
+++ b/packages/router/src/__tests__/limitSimulation.spec.ts
@@ -1,14 +1,14 @@
 import { expect } from 'chai'
 import { runLimitSimulation, type LimitChange } from './limitSimulation.js'
 
-/** Part of the named rate that a limited server should get where the others have no room. */
+/** Minimum fraction of its announced rate that a limited server receives when the other servers are busy. */
 const USED_RATIO = 0.6
-/** Part of the requests that are served where other servers have room. */
+/** Minimum fraction of requests served when other servers have capacity. */
 const SERVED_RATIO = 0.98
-/** Part of its even share that a server gets 4 s after its limit is withdrawn. */
+/** Minimum fraction of its equal share that a server receives 4 s after its limit is withdrawn. */
 const RECOVERED_RATIO = 0.5
 
-describe('a fleet of which some servers name rate limits', () => {
+describe('a fleet in which some servers announce rate limits', () => {
   const BUSY = { servers: 6, requestsPerSecond: 400, processingMs: 600, durationMs: 12_000 }
   const QUIET = { servers: 6, requestsPerSecond: 65, durationMs: 16_000 }
   const SEED = { seed: 43 }
@@ -54,7 +54,7 @@
       expect(result.minUsedRatio).to.be.at.least(USED_RATIO)
     })
 
-    it(`keeps a limit without a leader, under the next one, and beside restarts: ${routers} routers`, () => {
+    it(`keeps a limit without a leader, under the next one, and during restarts: ${routers} routers`, () => {
       const restartsAtMs = Array.from({ length: 12 }, (_, index) => 5_000 + index * 400)
       const changes = announceLimit(2, 1.7)
       const leader = { newLeaderAtMs: 7_000, electionMs: 1_500, restartsAtMs }
@@ -79,7 +79,7 @@
     expect(result.maxWindowRatio).to.be.at.most(1)
   })
 
-  it('uses a limit where all traffic is at 3 of 70 routers', () => {
+  it('uses a limit when only 3 of 70 routers receive traffic', () => {
     const changes = announceLimit(3, 1.7)
     const size = { routers: 70, busyRouters: 3, servers: 12, requestsPerSecond: 300 }
     const load = { durationMs: 14_000, processingMs: 600 }
--- a/packages/router/src/__tests__/limitSimulation.ts
+++ b/packages/router/src/__tests__/limitSimulation.ts
@@ -1,6 +1,6 @@
 /**
- * Servers that name rate limits, in virtual time and without a network: the real choice, limits and division of limits,
- * on stand-in servers that answer whatever they receive.
+ * Simulates servers that announce rate limits, in virtual time and without a network. Server ranking, limits and
+ * allocation are the real code; the simulated servers answer every request.
  */
 import {
   createRateLimitAllocator,
@@ -13,12 +13,12 @@
 import { createServerLimits } from '../limits/serverLimits.js'
 import { buildView, createRankingContext, createEngineServer, GROUP } from './rankingFixtures.js'
 
-/** A change of what servers name. */
+/** A change of the limits that servers announce. */
 export interface LimitChange {
   readonly atMs: number
-  /** Servers concerned, the first ones. */
+  /** Number of affected servers, from the first one. */
   readonly servers: number
-  /** Requests a second; undefined for no limit. */
+  /** Requests per second; undefined for no limit. */
   readonly perSecond: number | undefined
 }
 
@@ -30,28 +30,28 @@
   readonly changes: readonly LimitChange[]
   readonly durationMs: number
   readonly seed: number
-  /** Routers that receive requests, the first ones. @default all */
+  /** Number of routers that receive requests, from the first one. @default all */
   readonly busyRouters?: number
   /** When a new leader takes over, in ms. @default never */
   readonly newLeaderAtMs?: number
   /** Time without a leader before that, in ms. @default 0 */
   readonly electionMs?: number
-  /** When a router is replaced by a new one, in ms. @default never */
+  /** Times at which a random router is restarted, in ms. @default never */
   readonly restartsAtMs?: readonly number[]
-  /** Time from the head of an answer to a request's end, in ms. @default 100 */
+  /** Time from the start of a request to its end, in ms. @default 100 */
   readonly processingMs?: number
 }
 
-/** What a simulation shows. */
+/** Result of a simulation. */
 export interface LimitSimulationResult {
   readonly sent: number
-  /** Requests that no server was open for. */
+  /** Requests for which no server was available. */
   readonly rejected: number
-  /** Largest number of counted requests in a window over the number that is allowed. */
+  /** Maximum number of counted requests in a window, as a fraction of the number allowed. */
   readonly maxWindowRatio: number
-  /** Least requests a second of a limited server from 3 s after it named the limit, over the limit. */
+  /** Minimum request rate of a limited server from 3 s after it announced the limit, as a fraction of the limit. */
   readonly minUsedRatio: number
-  /** Least share of a server whose limit was withdrawn, from 4 s later for 2 s, over the even share. */
+  /** Minimum rate of a server from 4 s to 6 s after its limit was withdrawn, as a fraction of the equal share. */
   readonly minRecoveredRatio: number
 }
 
@@ -61,7 +61,7 @@
 const POLL_INTERVAL_PER_ROUTER_MS = 2
 const ROUTER_TTL_MS = 3_000
 const FIRST_TERM = 1
-/** The users' rule: the window, from when on it counts, and which routers count. */
+/** The required bound: its window, from when it applies, and which routers count. */
 const WINDOW_MS = 4_000
 const SETTLING_MS = 3_000
 const ROUTER_SETTLING_MS = 500
@@ -83,7 +83,7 @@
   term: number
   limitsSeen: number
   isRunning: boolean
-  /** When it first passed on an answer with the limit in force, by server. */
+  /** When this router first received a response with the current limit, by server. */
   readonly informedAt: Map<BackendServerId, number>
 }
 
@@ -239,7 +239,7 @@
     this.poll(this.routers[index])
   }
 
-  /** Each limit with its server and the time for which it was named. */
+  /** Lists each limit with the requests to its server and the period for which it was announced. */
   private listLimits() {
     const { changes, durationMs } = this.options
     return changes.flatMap(({ atMs, servers, perSecond }, index) => {
@@ -313,7 +313,7 @@
   }
 }
 
-/** Simulates a load and reports what became of it. */
+/** Runs a simulation. */
 export function runLimitSimulation(options: LimitSimulationOptions): LimitSimulationResult {
   return new LimitSimulation(options).run()
 }
--- a/packages/router/src/__tests__/quotaAdmission.spec.ts
+++ b/packages/router/src/__tests__/quotaAdmission.spec.ts
@@ -15,10 +15,10 @@
 const QUOTA: TeamQuota = { unit: 'tokens', perSecond: 1_000, burst: 1_000, uncountedTokens: 1 }
 const KEY = formatQuotaKey(TEAM, QUOTA.unit)
 const ROUTERS = 4
-/** Time after which a question counts as unanswered, and within which the router is still in touch, in ms. */
+/** Longer than the reply timeout, but short enough that the router still has contact to the leader, in ms. */
 const REPLY_WAIT_MS = 160
 
-/** A router in touch with a leader that does not answer its questions. */
+/** Creates a router that had contact to a leader, which does not reply to its queries. */
 function createRouter(scarce: readonly string[]) {
   const timers = createManualTimerService()
   const random = createRandomSource(1)
@@ -45,14 +45,14 @@
   return { timers, admit, countQuestions: () => queries }
 }
 
-describe('admission by the limit of a team', () => {
-  it('does not wait for a slow leader while the team has room', async () => {
+describe('quota admission', () => {
+  it('does not wait for a slow leader while the team is not scarce', async () => {
     const { admit, countQuestions: countQueries } = createRouter([])
     for (const cost of [100, 100, 100]) expect((await admit(cost)).kind).to.equal('admitted')
     expect(countQueries()).to.equal(0)
   })
 
-  it('refuses once the leader does not answer for a scarce team, and asks once for all that wait', async () => {
+  it('refuses a scarce team after the query timeout, with one query for all waiting requests', async () => {
     const { timers, admit, countQuestions: countQueries } = createRouter([KEY])
     const verdicts = Promise.all([admit(100), admit(100)])
     timers.advance(REPLY_WAIT_MS)
--- a/packages/router/src/__tests__/quotaCredits.spec.ts
+++ b/packages/router/src/__tests__/quotaCredits.spec.ts
@@ -15,7 +15,7 @@
 const ROUTERS = 4
 const MAX_COST = 200
 const QUOTA: TeamQuota = { unit: 'tokens', perSecond: 1_000, burst: 1_000, uncountedTokens: 1 }
-/** Each router may overdraw by one request while a team has room. */
+/** Each router may overdraw by one request while a team is not scarce. */
 const TOLERANCE = { ratio: 0.1, slack: ROUTERS * MAX_COST, windowMs: 8_000 }
 const MAX_WINDOW_COST =
   (QUOTA.perSecond * 8 + QUOTA.burst) * (1 + TOLERANCE.ratio) + TOLERANCE.slack + MAX_COST
@@ -34,7 +34,7 @@
   | { readonly kind: 'suspend'; readonly ms: number }
   | { readonly kind: 'newTerm' }
 
-/** A leader and routers whose messages are lost, doubled and late. */
+/** Simulates a leader and routers whose messages are lost, duplicated and delayed. */
 function createSimulation() {
   const timers = createManualTimerService()
   const buckets = createQuotaBuckets({ timers, findQuota: () => QUOTA, tolerance: TOLERANCE })
@@ -146,8 +146,8 @@
   { weight: 1, arbitrary: GIVE_BACK },
 )
 
-describe('credits of the teams’ limits', () => {
-  it('are never used beyond what the tolerance allows: messages lost, doubled, late, restarts, new leaders', () => {
+describe('quota credits', () => {
+  it('never exceed the tolerance with lost, duplicated and delayed messages, restarts and new leaders', () => {
     fc.assert(
       fc.property(fc.array(STEP, { minLength: 50, maxLength: 600 }), (steps) => {
         const simulation = createSimulation()
@@ -158,7 +158,7 @@
     )
   })
 
-  it('return whole: a bucket is full again once nobody uses it', () => {
+  it('are all returned: a bucket is full again once no router uses it', () => {
     fc.assert(
       fc.property(fc.array(fc.oneof(USE, REPORT, WAIT), { maxLength: 200 }), (steps) => {
         const simulation = createSimulation()
@@ -176,7 +176,7 @@
     )
   })
 
-  it('are void after a silence for which the leader has given them to others', () => {
+  it('expire without contact to the leader, which grants them to other routers', () => {
     const credits = createQuotaCredits({
       router: 'r',
       incarnation: 'a',
@@ -192,7 +192,7 @@
     expect(credits.take(charge, CREDIT_TTL_MS + 1)).to.equal(false)
   })
 
-  it('of one unit are worth nothing in another: a limit in tokens becomes one in requests', () => {
+  it('of one unit are not valid in another, after a limit in tokens becomes one in requests', () => {
     const credits = createQuotaCredits({
       router: 'r',
       incarnation: 'a',
@@ -209,7 +209,7 @@
     expect(credits.take(inTokens, 1)).to.equal(true)
   })
 
-  it('refuse what a lost leader did not grant beyond an even share, and nothing is saved up', () => {
+  it('allow only an equal share without a leader, and do not accumulate it', () => {
     const simulation = createSimulation()
     for (let step = 0; step < 200; step += 1) simulation.run({ kind: 'use', router: 0, cost: 50 })
     const first = simulation.ran.length
--- a/packages/router/src/__tests__/quotaSimulation.spec.ts
+++ b/packages/router/src/__tests__/quotaSimulation.spec.ts
@@ -4,12 +4,12 @@
 const QUOTA = { unit: 'tokens', perSecond: 171_000, burst: 171_000, uncountedTokens: 200 } as const
 const COSTS = [200, 40_000] as const
 const BASE = { seed: 7, quota: QUOTA, costs: COSTS, spread: 'even', durationMs: 16_000 } as const
-/** Part of what one bucket that all routers see at once would let run. */
+/** Minimum use, as a fraction of that with one central bucket. */
 const USED_RATIO = 0.95
-/** Part of the demand that may be refused beyond what such a bucket refuses. */
+/** Fraction of the demand that may be refused beyond what a central bucket refuses. */
 const REFUSED_RATIO = 0.02
 
-describe('the limit of a team over many routers', () => {
+describe('a team quota over many routers', () => {
   for (const routers of [6, 33, 70, 410]) {
     const run = (options: Partial<QuotaSimulationOptions> & { demand: number }) =>
       runQuotaSimulation({ ...BASE, routers, ...options })
@@ -25,9 +25,9 @@
         expect(usedRatio).to.be.at.least((routers <= 70 ? USED_RATIO : 0.9) * central.usedRatio)
       })
 
-      // Reports of a very large fleet are too old for this.
+      // In a very large fleet, reports reach the leader too late for this bound.
       for (const demand of routers <= 70 ? [0.5, 0.85] : []) {
-        it(`refuses no more at ${demand} of it than one bucket would: ${routers} routers, spread ${spread}`, async () => {
+        it(`refuses no more than a central bucket at a demand of ${demand}: ${routers} routers, spread ${spread}`, async () => {
           const { refusedRatio } = await run({ demand, spread })
           const central = await run({ demand, spread, strategy: 'central' })
           expect(refusedRatio).to.be.at.most(central.refusedRatio + REFUSED_RATIO)
@@ -47,7 +47,7 @@
       ],
     } as const
     for (const [title, faults] of Object.entries(FAULTS)) {
-      it(`is kept beside ${title}: ${routers} routers`, async () => {
+      it(`is kept during ${title}: ${routers} routers`, async () => {
         const { maxToleratedRatio } = await run({ demand: 2, faults })
         expect(maxToleratedRatio).to.be.at.most(1)
       })
@@ -56,7 +56,7 @@
 
   for (const routers of [6, 33, 70, 410]) {
     for (const kind of ['noLeader', 'cut', 'restart'] as const) {
-      it(`is kept where the demand rises as routers lose the leader (${kind}): ${routers} routers`, async () => {
+      it(`is kept when the demand rises as routers lose the leader (${kind}): ${routers} routers`, async () => {
         const result = await runQuotaSimulation({
           ...BASE,
           routers,
@@ -82,7 +82,7 @@
     expect(result.usedRatio).to.be.at.least(USED_RATIO)
   })
 
-  it('shows a way that does not keep it', async () => {
+  it('is exceeded by equal static shares, which shows that the simulation detects it', async () => {
     const result = await runQuotaSimulation({
       ...BASE,
       routers: 410,
--- a/packages/router/src/__tests__/quotaSimulation.ts
+++ b/packages/router/src/__tests__/quotaSimulation.ts
@@ -1,6 +1,6 @@
 /**
- * A team with a limit in virtual time: routers that callers reach unevenly, a leader, delays, and what fails. Admission is the product's own
- * in the way `credits`; the other ways are what it is compared with.
+ * Simulates a team quota in virtual time: routers with uneven traffic, a leader, network delays and faults. The strategy
+ * `credits` uses the real quota admission; the others serve as a comparison.
  */
 import { createRandomSource, type RandomSource } from '@spoolgate/core'
 import type { TeamQuota } from '@spoolgate/routing'
@@ -12,17 +12,17 @@
   type SharingStrategy,
 } from './quotaStrategies.js'
 
-/** What happens to a part of the fleet for some time. */
+/** A temporary fault of some routers. */
 export interface SimulatedFault {
-  /** `cut` routers serve without reaching the leader; `frozen` ones stand still, and go on with what has arrived. */
+  /** `cut` routers cannot reach the leader; `frozen` ones are suspended and then process what has arrived. */
   readonly kind: 'cut' | 'frozen' | 'noLeader' | 'restart'
   readonly atMs: number
   readonly durationMs: number
-  /** Routers that it hits, from the first on. */
+  /** Number of affected routers, from the first one. */
   readonly routers?: number
 }
 
-/** How callers are spread over routers. */
+/** Distribution of requests over routers. */
 export type Spread = 'even' | 'few' | 'moving'
 
 /** Options of {@link runQuotaSimulation}. */
@@ -30,33 +30,33 @@
   readonly seed: number
   readonly routers: number
   readonly quota: TeamQuota
-  /** Demand as a part of the limit's rate. */
+  /** Demand as a fraction of the quota's rate. */
   readonly demand: number
-  /** Smallest and largest cost of a request; logarithms are spread evenly. */
+  /** Minimum and maximum cost of a request; costs are log-uniformly distributed. */
   readonly costs: readonly [least: number, most: number]
   readonly spread: Spread
   readonly durationMs: number
   readonly faults?: readonly SimulatedFault[]
-  /** Time in which the demand is another part of the limit's rate. */
+  /** Period with a different demand, as a fraction of the quota's rate. */
   readonly surge?: { readonly atMs: number; readonly durationMs: number; readonly demand: number }
   readonly quotaChange?: { readonly atMs: number; readonly quota: TeamQuota }
   /** @default credits */
   readonly strategy?: SharingStrategy
 }
 
-/** What was observed. */
+/** Result of a simulation. */
 export interface QuotaSimulationResult {
-  /** Most that ran in any window, as a part of rate and burst. */
+  /** Maximum cost admitted in any window, as a fraction of rate and burst. */
   readonly maxWindowRatio: number
-  /** The same as a part of what the tolerance allows. */
+  /** The same as a fraction of what the tolerance allows. */
   readonly maxToleratedRatio: number
-  /** Cost that ran, as a part of what the rate and one burst allow. */
+  /** Admitted cost, as a fraction of the rate and one burst. */
   readonly usedRatio: number
-  /** Cost that was refused, as a part of the demand. */
+  /** Refused cost, as a fraction of the demand. */
   readonly refusedRatio: number
-  /** Messages to the leader a second and router. */
+  /** Messages to the leader per second and router. */
   readonly messagesPerS: number
-  /** Bytes of reports and grants a second and router. */
+  /** Bytes of reports and grants per second and router. */
   readonly bytesPerS: number
 }
 
@@ -64,7 +64,7 @@
 const NETWORK_DELAY_MS = 2
 const FIRST_POLL_MS = 100
 const MS_PER_S = 1_000
-/** Routers that callers reach where they are spread over few. */
+/** Number of routers that receive requests unless the spread is even. */
 const FEW_ROUTERS = 3
 
 function drawRouter(
@@ -96,7 +96,7 @@
   return maxWindowCost
 }
 
-/** Runs one simulation; the same options give the same figures. */
+/** Runs one simulation; the same options give the same result. */
 export async function runQuotaSimulation(
   options: QuotaSimulationOptions,
 ): Promise<QuotaSimulationResult> {
@@ -155,7 +155,7 @@
   }
   const startCall = (router: number) => {
     const cost = drawCost()
-    // A frozen router takes what arrived once it wakes.
+    // A frozen router processes its requests when it resumes.
     const [freeze] = faults.filter(({ kind }) => kind === 'frozen')
     if (freeze && isFaultActive('frozen', router))
       at(freeze.atMs + freeze.durationMs, () => void serve(router, cost))
--- a/packages/router/src/__tests__/quotaStrategies.ts
+++ b/packages/router/src/__tests__/quotaStrategies.ts
@@ -1,4 +1,4 @@
-/** Ways to share the limit of a team among routers, for the simulation: the product's own, and what it is compared with. */
+/** Strategies that share a team quota among routers, for the simulation: the real one and those it is compared with. */
 import { createQuotaBuckets, type QuotaReport } from '@spoolgate/control'
 import {
   createQuietLogger,
@@ -12,7 +12,7 @@
 import { createQuotaAdmission } from '../limits/quotaAdmission.js'
 import { createQuotaCredits } from '../limits/quotaCredits.js'
 
-/** How a limit is shared among routers. */
+/** How a quota is shared among routers. */
 export type SharingStrategy = 'credits' | 'evenShares' | 'demandShares' | 'reportedUse' | 'central'
 
 /** Size of the fleet. */
@@ -20,7 +20,7 @@
   readonly routers: number
 }
 
-/** Tolerance as a deployment may state it. */
+/** Example of a tolerance in a deployment's bounds. */
 export const TOLERANCE = { ratio: 0.1, slack: 110_000, windowMs: 8_000 }
 const NETWORK_DELAY_MS = 2
 const MIN_POLL_INTERVAL_MS = 100
@@ -28,7 +28,7 @@
 const MS_PER_S = 1_000
 const TEAM = toTeamId('t')
 
-/** Creates time that moves in steps of 1 ms. */
+/** Creates a virtual clock with steps of 1 ms. */
 export function createVirtualClock() {
   const due = new Map<number, (() => void)[]>()
   let now = 0
@@ -68,10 +68,10 @@
 /** See {@link createVirtualClock}. */
 export type VirtualClock = ReturnType<typeof createVirtualClock>
 
-/** Admission of the requests that reach routers. */
+/** Simulated admission of requests at all routers. */
 export interface SimulatedAdmission {
   admit(router: number, cost: number): Promise<boolean>
-  /** Called for each router that is polling, at its pace. */
+  /** Called at each poll of a router. */
   poll(router: number): void
   restart(router: number): void
   newTerm(): void
@@ -79,7 +79,7 @@
   bytes(): number
 }
 
-/** What a way has at hand. */
+/** Environment of a strategy. */
 export interface StrategyContext {
   readonly clock: VirtualClock
   readonly options: FleetSize
@@ -102,7 +102,7 @@
   }
   const buckets = createQuotaBuckets({ timers, findQuota, tolerance: TOLERANCE })
   buckets.reset(term)
-  /** Carries a report to the leader and the grants back; never called back where either is lost. */
+  /** Sends a report to the leader; `onGrants` is not called if the report or the reply is lost. */
   const send = (
     router: number,
     report: QuotaReport,
@@ -180,7 +180,7 @@
   }
 }
 
-/** Buckets of single routers, whose rates a leader may set anew each second. */
+/** One bucket per router, with equal rates or with rates that a leader divides by demand each second. */
 function createShareStrategy(context: StrategyContext, isByDemand: boolean): SimulatedAdmission {
   const { clock, options, findQuota, isReachable } = context
   const { timers, at } = clock
@@ -225,7 +225,7 @@
   }
 }
 
-/** One bucket whose level all routers know as of their last poll, and spend from freely. */
+/** One bucket, whose level as of their last poll all routers use without coordination. */
 function createReportedUseStrategy({
   clock,
   options,
@@ -275,7 +275,7 @@
   }
 }
 
-/** One bucket that all routers see at once: what no fleet can do, as a measure for the others. */
+/** One central bucket without delay: not feasible in a real fleet, but a reference for the others. */
 function createCentralStrategy({
   clock: { timers },
   findQuota,
@@ -300,7 +300,7 @@
   }
 }
 
-/** Ways to share a limit among routers. */
+/** Creates the admission of each strategy. */
 export const STRATEGIES: Record<SharingStrategy, (context: StrategyContext) => SimulatedAdmission> =
   {
     credits: createCreditStrategy,
@@ -310,7 +310,7 @@
     central: createCentralStrategy,
   }
 
-/** Finds the time between two polls of a router, in ms. */
+/** Returns the poll interval of a router, in ms. */
 export function findPollIntervalMs({ routers }: FleetSize): number {
   return Math.max(MIN_POLL_INTERVAL_MS, routers * POLL_INTERVAL_PER_ROUTER_MS)
 }
--- a/packages/router/src/__tests__/serverLimits.spec.ts
+++ b/packages/router/src/__tests__/serverLimits.spec.ts
@@ -7,14 +7,14 @@
 const S1 = toBackendServerId('s1')
 const TERM = 4
 const MS_PER_S = 1_000
-/** Lowest rate to a limited server, in requests a second. */
+/** Minimum rate to a limited server, in requests per second. */
 const MIN_RATE = 0.5
 
 function buildUpdate(perSecond: number | null, share?: number, ageMs = 0): LimitsUpdate {
   return { hasParts: true, servers: [{ server: S1, perSecond, ageMs, part: share }] }
 }
 
-/** A router that was answered with a limit at 100 ms, and has a part of it. */
+/** Creates the limits of a router that observed a limit at 100 ms and was assigned a share of it. */
 function createLimitsWithShare(perSecond: number, share: number) {
   const limits = createServerLimits()
   limits.recordResponse(S1, { perSecond, sentAt: 50 }, 100)
@@ -22,8 +22,8 @@
   return limits
 }
 
-describe('limits that servers name', () => {
-  it('bind whoever receives one at once, without a part of the rate', () => {
+describe('server limits', () => {
+  it('apply at once to the router that observes one, before it has a share', () => {
     const limits = createServerLimits()
     expect(limits.judgeSend(S1, 0).kind).to.equal('open')
     limits.recordResponse(S1, { perSecond: 2, sentAt: 50 }, 100)
@@ -31,7 +31,7 @@
     expect(limits.judgeSend(S1, 60_000).kind).to.equal('limited')
   })
 
-  it('bind a router that learns of one from the leader', () => {
+  it('apply to a router that receives one from the leader', () => {
     const limits = createServerLimits()
     limits.applyUpdate(buildUpdate(2), 0, 10)
     expect(limits.judgeSend(S1, 20).kind).to.equal('limited')
@@ -39,7 +39,7 @@
     expect(limits.judgeSend(S1, 50).kind).to.equal('open')
   })
 
-  it('permit the part of the rate that was assigned, and say when the next request fits', () => {
+  it('permit the assigned share of the rate and return when the next request is permitted', () => {
     const limits = createLimitsWithShare(2, 0.5)
     expect(limits.judgeSend(S1, 110)).to.deep.equal({ kind: 'limited', until: 1_110 })
     expect(limits.judgeSend(S1, 1_110).kind).to.equal('open')
@@ -47,7 +47,7 @@
     expect(limits.judgeSend(S1, 1_110)).to.deep.equal({ kind: 'limited', until: 2_110 })
   })
 
-  it('are not lifted by an answer to a request that was sent before they were received', () => {
+  it('are not lifted by the response to a request sent before they were observed', () => {
     const limits = createLimitsWithShare(2, 0.5)
     limits.recordResponse(S1, { perSecond: undefined, sentAt: 99 }, 150)
     expect(limits.isLimited(S1)).to.equal(true)
@@ -57,7 +57,7 @@
     expect(limits.isLimited(S1)).to.equal(false)
   })
 
-  it('are not lifted by news that is older than what this router received', () => {
+  it('are not lifted by an update older than the observation of this router', () => {
     const limits = createLimitsWithShare(2, 0.5)
     limits.recordAcknowledged(limits.listUnreported(TERM, 120))
     limits.applyUpdate(buildUpdate(null, undefined, 60), 150, 160)
@@ -67,13 +67,13 @@
     ])
   })
 
-  it('keep their parts while a new leader has assigned none', () => {
+  it('keep their shares while a new leader has assigned none', () => {
     const limits = createLimitsWithShare(2, 0.5)
     limits.applyUpdate({ hasParts: false, servers: [] }, 200, 210)
     expect(limits.judgeSend(S1, 1_200).kind).to.equal('open')
   })
 
-  it('are reported once to each leader, and again once they change', () => {
+  it('are reported once to each leader, and again when they change', () => {
     const limits = createLimitsWithShare(2, 0.5)
     const first = limits.listUnreported(TERM, 120)
     expect(first.reports).to.have.length(1)
@@ -86,7 +86,7 @@
     ])
   })
 
-  it('bind the next start of a server that may have named them, and not a later one', () => {
+  it('apply to the next incarnation of a server, which may have announced them, but not to a later one', () => {
     const limits = createLimitsWithShare(2, 0.5)
     const next = toBackendServerId('s1@2')
     const later = toBackendServerId('s1@3')
@@ -97,7 +97,7 @@
     expect(limits.listUnreported(TERM, 1_000).reports.map(({ server }) => server)).to.include(next)
   })
 
-  it('are probed where no answer has confirmed them for a while', () => {
+  it('are probed when no response has confirmed them recently', () => {
     const limits = createLimitsWithShare(2, 0.5)
     expect(limits.isProbeDue(S1, 1_200)).to.equal(false)
     expect(limits.isProbeDue(S1, 2_200)).to.equal(true)
@@ -105,7 +105,7 @@
     expect(limits.isProbeDue(S1, 2_200)).to.equal(false)
   })
 
-  it('never permit more than the part of the highest rate, and one request or a second of it', () => {
+  it('never permit more than the highest rate plus a burst of one second', () => {
     const observation = fc.record({
       afterMs: fc.nat({ max: 700 }),
       perSecond: fc.option(fc.double({ min: 0, max: 20, noNaN: true })),
@@ -124,7 +124,7 @@
             limits.recordSend(S1, now)
             sends += 1
           }
-          // Always names a limit, so that none is ever lifted.
+          // Always announces a limit, so that it is never lifted.
           const observed = { perSecond: perSecond ?? 20, sentAt: now - latenessMs }
           limits.recordResponse(S1, observed, now)
           const update = buildUpdate(20, share ?? 0, latenessMs)
--- a/packages/router/src/__tests__/teamLimits.spec.ts
+++ b/packages/router/src/__tests__/teamLimits.spec.ts
@@ -14,7 +14,7 @@
 const TEAM = toTeamId('team')
 const LIMIT = 12
 
-describe('limits over all routers', () => {
+describe('team limits', () => {
   const timers = createManualTimerService()
   const logger = createQuietLogger()
   const fleet = resolveFleetConfig(
@@ -48,7 +48,7 @@
       () => undefined,
     )
 
-  it('never passes the limit in sum while demand moves, and lets one router use all of it', async () => {
+  it('never exceed the limit in total while demand moves, and let one router use all of it', async () => {
     const { routers } = createRouters(4)
     const random = createRandomSource(3)
     const running: (() => void)[] = []
@@ -66,7 +66,7 @@
     routers.forEach((router) => router.close())
   })
 
-  it('stops at the expiry of its shares when control is away, and goes on when it is back', async () => {
+  it('refuse after the shares expire without control, and admit again once it is back', async () => {
     const { routers, link } = createRouters(1)
     const [router] = routers
     expect(await tryAdmit(router)).to.be.a('function')
@@ -80,7 +80,7 @@
     router.close()
   })
 
-  it('ends with its shares though the machine was suspended, and control is away', async () => {
+  it('refuse after the shares expire while the machine is suspended and control is unreachable', async () => {
     const { routers, link } = createRouters(1)
     const [router] = routers
     expect(await tryAdmit(router)).to.be.a('function')
@@ -90,7 +90,7 @@
     router.close()
   })
 
-  it('hands out nothing under a new leader until earlier shares have expired', () => {
+  it('get no shares from a new leader until earlier shares have expired', () => {
     const ledger = createLedger()
     const requestShare = () =>
       ledger.grant({ router: 'r', demands: { [TEAM]: { concurrentRequests: 4 } } }).shares[TEAM]
--- a/packages/router/src/limits/quotaCredits.ts
+++ b/packages/router/src/limits/quotaCredits.ts
@@ -83,7 +83,7 @@
   /** Exponentially decaying average, in units per second. */
   demand: number
   demandUpdatedAt: number
-  /** Sum of cost minus covered cost over the random overdrafts without a leader; makes the covered cost count, not the outcome. */
+  /** Sum of cost minus covered cost over random overdrafts, so that the covered cost counts instead of the outcome. */
   overdraftCorrection: number
   /** Time up to which this router's own share has been added. */
   shareAddedUntil: number
@@ -133,7 +133,7 @@
   const findContactDeadline = () => lastContactAt + findContactTimeoutMs(countRouters())
   const findEqualShare = ({ quota }: QuotaCharge): number =>
     quota.perSecond / Math.max(1, countRouters()) / MS_PER_S
-  /** Finds the rate that this router may use without a leader, in units per ms: unless scarce, at least the rate used before. */
+  /** Finds the rate for use without a leader, in units per ms; unless the team is scarce, at least the rate used before. */
   const findOfflineShare = (credits: TeamCredits, charge: QuotaCharge, now: number): number => {
     const equalShare = findEqualShare(charge)
     if (isScarce(charge)) return SCARCE_SHARE_RATIO * equalShare
