--- a/packages/control/src/__tests__/group.ts
+++ b/packages/control/src/__tests__/group.ts
@@ -1,4 +1,4 @@
-/** A control group in memory whose links can be cut, for tests of elections and leases. */
+/** In-memory Raft group with simulated time and network faults, for tests of elections and leases. */
 import {
   ConnectionError,
   createInvariants,
@@ -14,49 +14,52 @@
 import { createControlMachine, type ControlMachine } from '../state/controlMachine.js'
 import { createMemoryFolder, type MemoryFolder } from './memoryFolder.js'
 
-/** One member with its disk. */
+/** Member with its disk and clock. */
 export interface TestMember {
   readonly name: string
-  /** Where it is reached; links are cut between addresses. */
+  /** Address of the member; links are cut between addresses. */
   readonly url: string
   member: RaftMember
   machine: ControlMachine
   folder: MemoryFolder
-  /** Whether its clock moves; a frozen process neither sends nor answers. */
+  /** Clock of the member; it does not advance while the member is frozen. */
   timers: ManualTimerService
 }
 
-/** A group of members. */
+/** Simulated group. */
 export interface TestGroup {
   readonly members: Map<string, TestMember>
-  /** Links that are cut, as `from>to`. */
-  readonly cut: Set<string>
-  readonly frozen: Set<string>
-  /** Bytes that a link carries within the time limit of a message; larger ones never arrive. */
-  carriedBytes: number
-  /** What the members have logged. */
-  readonly lines: readonly string[]
+  /** Cut links, as `from>to` with addresses. */
+  readonly cutLinks: Set<string>
+  /** Names of members whose process is paused: it neither sends nor replies. */
+  readonly frozenMembers: Set<string>
+  /** Maximum size of a message that arrives before its timeout; larger messages fail. */
+  maxMessageBytes: number
+  /** Log lines of all members. */
+  readonly logLines: readonly string[]
+  /** Cuts all links of a member. */
   isolate(name: string): void
+  /** Restores all links. */
   heal(): void
-  /** Moves time forward until the condition holds. */
+  /** Advances time until the condition holds. */
   runUntil(condition: () => boolean, what: string): Promise<void>
-  /** Moves time forward. */
+  /** Advances time. */
   run(duration: number): Promise<void>
   leader(): TestMember | undefined
-  /** Waits for a leader, or for another one. */
-  findLeader(other?: string): Promise<TestMember>
-  /** Proposes a command and moves time forward until it is known what became of it. */
+  /** Advances time until there is a leader other than the named one. */
+  waitForLeader(other?: string): Promise<TestMember>
+  /** Proposes a command and advances time until it succeeds or fails. */
   propose(leader: TestMember, command: unknown): Promise<unknown>
-  /** Members that hold a lease. */
+  /** Number of members that hold a lease. */
   countLeases(): number
-  /** Stops members and starts them again on their disks. */
+  /** Restarts members with their disks. */
   restart(names: readonly string[], startedAt: number): Promise<void>
   /**
-   * Cuts the power of members at one moment: what they had not synced may be gone. Returns their
-   * disks, from which {@link TestGroup.start} starts them again.
+   * Cuts the power of members at the same instant; unsynced data may be lost. Returns their disks for
+   * {@link TestGroup.start}.
    */
   losePower(names: readonly string[]): Promise<Map<string, MemoryFolder>>
-  /** Stops members for good; an instance with an empty disk and a new name comes to each address. */
+  /** Replaces each member by an instance with an empty disk and a new name at the same address. */
   loseDisks(names: readonly string[]): Promise<void>
   start(
     name: string,
@@ -67,7 +70,7 @@
 
 export const ELECTION_MS = 100
 
-/** Builds what a candidate outside of the group asks, whose log is up to date. */
+/** Builds the pre-vote request of a candidate outside the group with an up-to-date log. */
 export function buildPreVote(term: number, lastIndex: number): VoteRequest {
   return { isPreVote: true, term, candidate: 'z', lastIndex, lastTerm: term, endedTerms: {} }
 }
@@ -75,7 +78,7 @@
 const STEP_MS = 5
 const MAX_STEPS = 4_000
 
-const settle = () => new Promise((resolve) => setImmediate(resolve))
+const flushCallbacks = () => new Promise((resolve) => setImmediate(resolve))
 
 /** Creates a group and starts its founders. */
 export async function createTestGroup(
@@ -84,27 +87,27 @@
   snapshotEvery = 1_000,
 ): Promise<TestGroup> {
   const members = new Map<string, TestMember>()
-  const cut = new Set<string>()
-  const frozen = new Set<string>()
+  const cutLinks = new Set<string>()
+  const frozenMembers = new Set<string>()
   const founders: MemberMap = Object.fromEntries(
     names.map((name) => [name, { url: name, kind: 'voter' }]),
   )
-  const power = createRandomSource(seed)
-  const lines: string[] = []
-  const write = (line: string) => void lines.push(line)
-  const findAt = (url: string) =>
-    [...members.values()].find((other) => other.url === url && !frozen.has(other.name))
+  const powerLossRandom = createRandomSource(seed)
+  const logLines: string[] = []
+  const write = (line: string) => void logLines.push(line)
+  const findRunningAt = (url: string) =>
+    [...members.values()].find((other) => other.url === url && !frozenMembers.has(other.name))
 
   const createTransport = (from: string, fromUrl: string): RaftTransport => ({
     send: async (to, url, name, request) => {
       const fail = () => new ConnectionError('link is cut', true, false)
-      const target = findAt(url)
-      if (cut.has(`${fromUrl}>${url}`) || !target || frozen.has(from)) throw fail()
-      // As the route of these messages does: only votes are answered under another name.
+      const target = findRunningAt(url)
+      if (cutLinks.has(`${fromUrl}>${url}`) || !target || frozenMembers.has(from)) throw fail()
+      // Like the HTTP route, only vote requests are accepted for another name.
       if (name !== 'vote' && target.name !== to) throw fail()
-      // Messages travel as text, so that nobody shares what another still changes.
+      // Messages are serialised, so that members share no mutable objects.
       const text = JSON.stringify(request)
-      if (text.length > group.carriedBytes) throw fail()
+      if (text.length > group.maxMessageBytes) throw fail()
       const { member } = target
       const handlers = {
         vote: member.handleVote,
@@ -113,7 +116,12 @@
       }
       const handle = handlers[name] as (message: unknown) => Promise<never>
       const reply = await handle(JSON.parse(text))
-      if (cut.has(`${url}>${fromUrl}`) || frozen.has(from) || findAt(url) !== target) throw fail()
+      if (
+        cutLinks.has(`${url}>${fromUrl}`) ||
+        frozenMembers.has(from) ||
+        findRunningAt(url) !== target
+      )
+        throw fail()
       return reply
     },
   })
@@ -127,7 +135,7 @@
     const member = createRaftMember({
       name,
       url,
-      // As its identity says: who joined later founded no group.
+      // A member that joined later has no founders in its identity file.
       founders: name in founders ? founders : {},
       isFounding: options.isFounding ?? true,
       store,
@@ -148,26 +156,26 @@
   }
   const step = async () => {
     for (const { name, timers } of members.values()) {
-      if (!frozen.has(name)) timers.advance(STEP_MS)
+      if (!frozenMembers.has(name)) timers.advance(STEP_MS)
     }
-    await settle()
-    await settle()
+    await flushCallbacks()
+    await flushCallbacks()
   }
   const group: TestGroup = {
     members,
-    lines,
-    cut,
-    frozen,
-    carriedBytes: Infinity,
+    logLines,
+    cutLinks,
+    frozenMembers,
+    maxMessageBytes: Infinity,
     start,
     isolate: (name) => {
       const { url } = members.get(name) as TestMember
       for (const other of members.values()) {
-        cut.add(`${url}>${other.url}`)
-        cut.add(`${other.url}>${url}`)
+        cutLinks.add(`${url}>${other.url}`)
+        cutLinks.add(`${other.url}>${url}`)
       }
     },
-    heal: () => cut.clear(),
+    heal: () => cutLinks.clear(),
     run: async (duration) => {
       for (let spent = 0; spent < duration; spent += STEP_MS) await step()
     },
@@ -176,14 +184,14 @@
         if (condition()) return
         await step()
       }
-      throw new Error(`never happened: ${what}`)
+      throw new Error(`condition not met in time: ${what}`)
     },
     leader: () =>
       [...members.values()].find(({ name, member }) => {
         const { role, hasLease } = member.status()
-        return role === 'leader' && hasLease && !frozen.has(name)
+        return role === 'leader' && hasLease && !frozenMembers.has(name)
       }),
-    findLeader: async (other) => {
+    waitForLeader: async (other) => {
       const findNext = () => {
         const leader = group.leader()
         return leader?.name === other ? undefined : leader
@@ -212,7 +220,9 @@
     },
     losePower: async (names) => {
       const stopped = names.map((name) => members.get(name) as TestMember)
-      const disks = new Map(stopped.map(({ name, folder }) => [name, folder.restart(power)]))
+      const disks = new Map(
+        stopped.map(({ name, folder }) => [name, folder.restart(powerLossRandom)]),
+      )
       for (const name of names) members.delete(name)
       for (const { member } of stopped) await member.close()
       return disks
--- a/packages/control/src/__tests__/suspendedMachine.spec.ts
+++ b/packages/control/src/__tests__/suspendedMachine.spec.ts
@@ -1,13 +1,12 @@
 /**
- * What users would see: a machine is suspended for seconds, and goes on as if no time had passed. A leader that was deposed
- * meanwhile still believes its lease, and reports an older configuration as the newest. Cause: every instant was read from
- * the steady clock, which stands still meanwhile. Evidence: after the time in which another leader was elected and
- * confirmed, the clock by which the lease is judged has not moved.
+ * Guards against stale reads after a machine was suspended for seconds. The monotonic clock stops during a
+ * suspension, so a leader that was deposed meanwhile considered its lease valid and reported an outdated
+ * configuration as the latest one. Leases are therefore checked on a clock that includes suspended time.
  */
 import { expect } from 'chai'
 import { createTestGroup, ELECTION_MS, type TestGroup } from './group.js'
 
-describe('a member of the control group that was suspended', () => {
+describe('Raft member on a suspended machine', () => {
   let group: TestGroup
 
   beforeEach(async () => {
@@ -15,20 +14,20 @@
   })
   afterEach(() => group.close())
 
-  it('has no lease any more on waking, where another leads', async () => {
-    const old = await group.findLeader()
-    group.frozen.add(old.name)
-    const next = await group.findLeader(old.name)
+  it('no longer has its lease on resume when another member leads', async () => {
+    const old = await group.waitForLeader()
+    group.frozenMembers.add(old.name)
+    const next = await group.waitForLeader(old.name)
     await group.run(4 * ELECTION_MS)
-    group.frozen.delete(old.name)
+    group.frozenMembers.delete(old.name)
     old.timers.suspend(next.timers.now() - old.timers.now())
     expect(old.member.status().hasLease).to.equal(false)
     expect(() => old.member.checkCurrent()).to.throw()
     expect(group.countLeases()).to.equal(1)
   })
 
-  it('is not deposed because its time of day was set ahead', async () => {
-    const leader = await group.findLeader()
+  it('keeps leading after its wall clock was set ahead', async () => {
+    const leader = await group.waitForLeader()
     const { term } = leader.member.status()
     leader.timers.setWall(60_000)
     expect(leader.member.status().hasLease).to.equal(false)
@@ -36,8 +35,8 @@
     expect(leader.member.status()).to.include({ role: 'leader', hasLease: true, term })
   })
 
-  it('helps nobody to depose a leader that it followed before, any sooner than without', async () => {
-    const leader = await group.findLeader()
+  it('does not vote against its leader any earlier because it was suspended', async () => {
+    const leader = await group.waitForLeader()
     const [voter] = [...group.members.values()].filter(({ name }) => name !== leader.name)
     voter.timers.suspend(ELECTION_MS / 4)
     const { lastIndex, term } = leader.member.status()
--- a/packages/control/src/raft/appliedLog.ts
+++ b/packages/control/src/raft/appliedLog.ts
@@ -1,51 +1,54 @@
-/** The part of a member's log that is committed: applied to the machine, and compacted. */
+/** Applies the committed part of a member's log to the state machine and compacts it. */
 import type { Logger } from '@spoolgate/core'
 import type { LogStore, Snapshot } from '../log/logStore.js'
 import { isGroupCommand, type Membership, type SavedState } from './membership.js'
 import type { Proposals } from './proposals.js'
-import type { ReplicatedMachine } from './types.js'
+import type { StateMachine } from './types.js'
 
 /** Options of {@link createAppliedLog}. */
 export interface AppliedLogOptions {
   readonly store: LogStore
-  readonly machine: ReplicatedMachine
+  readonly machine: StateMachine
   readonly membership: Membership
   readonly proposals: Proposals
   readonly logger: Logger
-  /** Entries between snapshots. */
+  /** Number of log entries between snapshots. */
   readonly snapshotEvery: number
 }
 
 /** See {@link createAppliedLog}. */
 export interface AppliedLog {
   commitIndex(): number
-  /** Term of the last entry that was applied. */
+  /** Term of the last applied entry. */
   appliedTerm(): number | undefined
   /**
-   * Notes that the log is committed up to an index, and applies it; resolves once it is on the disk
-   * which change of the group is committed by that.
+   * Advances the commit index and applies the entries up to it. Resolves once the membership change that
+   * this commits is recorded on disk.
    */
   advance(next: number): Promise<void>
-  /** Puts a snapshot in the place of all that it covers. */
+  /** Replaces state and log up to the index of a snapshot by the snapshot. */
   install(snapshot: Snapshot): Promise<void>
 }
 
-/** Loads the snapshot of the store, if there is one, into machine and membership. */
+/** Creates the applied log and restores state machine and membership from the stored snapshot, if any. */
 export function createAppliedLog(options: AppliedLogOptions): AppliedLog {
   const { store, machine, membership, proposals, logger } = options
   let commitIndex = store.baseIndex()
   let appliedIndex = store.baseIndex()
   let isCompacting = false
 
-  const loadState = () => {
+  const restoreSnapshot = () => {
     const saved = store.snapshot()?.state as SavedState | undefined
     if (saved) machine.load(saved.machine)
     membership.reload()
   }
-  const compactWhenLarge = async () => {
+  const compactIfDue = async () => {
     if (isCompacting || appliedIndex - store.baseIndex() < options.snapshotEvery) return
     isCompacting = true
-    const state: SavedState = { machine: machine.save(), members: membership.findAt(appliedIndex) }
+    const state: SavedState = {
+      machine: machine.save(),
+      members: membership.findMembersAt(appliedIndex),
+    }
     const snapshot = { index: appliedIndex, term: store.findTerm(appliedIndex) ?? 0, state }
     await store.compact(snapshot)
     logger.info('raft.compacted', { index: store.baseIndex() })
@@ -53,7 +56,7 @@
   }
   const applyCommitted = () => {
     while (appliedIndex < commitIndex) {
-      const [entry] = store.list(appliedIndex + 1, 1)
+      const [entry] = store.listEntries(appliedIndex + 1, 1)
       if (!entry) return
       appliedIndex = entry.index
       const result = isGroupCommand(entry.command)
@@ -61,23 +64,23 @@
         : machine.apply(entry.command, entry.index)
       proposals.finish(entry, result)
     }
-    void compactWhenLarge()
+    void compactIfDue()
   }
-  loadState()
+  restoreSnapshot()
   return {
     commitIndex: () => commitIndex,
     appliedTerm: () => store.findTerm(appliedIndex),
     advance: async (next) => {
       if (next <= commitIndex) return
       commitIndex = next
-      const settled = membership.settle(commitIndex)
+      const groupSaved = membership.recordCommitted(commitIndex)
       applyCommitted()
-      await settled
+      await groupSaved
     },
     install: async (snapshot) => {
       if (snapshot.index <= commitIndex) return
       await store.compact(snapshot)
-      loadState()
+      restoreSnapshot()
       commitIndex = snapshot.index
       appliedIndex = snapshot.index
     },
--- a/packages/control/src/raft/electionReport.ts
+++ b/packages/control/src/raft/electionReport.ts
@@ -1,7 +1,7 @@
 /**
- * What one member reports of elections that found no leader: too few voters answer, a lease or a log
- * holds them back, a voter's disk is lost, or nobody listens. Bounded lines, and the time without a
- * leader as a metric.
+ * Reports why elections fail: too few voters reply, a lease or a longer log prevents votes, a voter's
+ * disk is lost, or the members do not answer. Log lines are rate-limited; the time without a leader is
+ * recorded as a metric.
  */
 import type { Histogram, Logger, Metrics, TimerService } from '@spoolgate/core'
 import type { MemberKind, MemberMap } from './messages.js'
@@ -14,63 +14,63 @@
   readonly metrics?: Metrics
 }
 
-/** A round of votes that was not won. */
-export interface LostRound {
+/** A vote round that was not won. */
+export interface FailedRound {
   readonly term: number
   readonly isPreVote: boolean
-  /** Group whose voters were asked. */
+  /** Members at the time of the round. */
   readonly members: MemberMap
-  /** By member: `granted`, why not, `lost`, or `silent` with the reason. */
+  /** By member: `granted`, the refusal, `lost`, or `silent` with the reason. */
   readonly answers: Readonly<Record<string, string>>
 }
 
 /** See {@link createElectionReport}. */
 export interface ElectionReport {
-  /** Notes a round of votes that was not won. */
-  recordLostRound(round: LostRound): void
-  /** Notes that a member without a leader may not stand for election itself. */
-  recordBystander(kind: MemberKind | undefined, mayVote: boolean): void
-  /** Notes, once for each voter, that its address is answered under another name. */
+  /** Logs a vote round that was not won. */
+  recordFailedRound(round: FailedRound): void
+  /** Logs that this member knows no leader but may not be a candidate. */
+  recordIneligible(kind: MemberKind | undefined, mayVote: boolean): void
+  /** Logs that another instance replied at a voter's address; the caller does so once per voter. */
   recordLostVoter(voter: string, url: string, found: string): void
-  /** Notes the leader that is known now; undefined for none. */
+  /** Records the currently known leader; undefined for none. */
   recordLeader(leader: string | undefined): void
 }
 
-/** Least time between two lines of the same content, in ms: a line a second can be read along. */
-const SAME_PERIOD_MS = 1_000
-/** Least time between two lines of different content, in ms: a tenth of that, for what alternates. */
-const CHANGED_PERIOD_MS = 100
+/** Minimum interval between lines of the same content, in ms: one line a second stays readable. */
+const REPEATED_LINE_INTERVAL_MS = 1_000
+/** Minimum interval between lines of different content, in ms: a tenth of the above, for alternating content. */
+const CHANGED_LINE_INTERVAL_MS = 100
 
-/** Creates the report of a member that knows no leader. */
+/** Creates the report of a member that does not know a leader yet. */
 export function createElectionReport(options: ElectionReportOptions): ElectionReport {
   const { logger, timers } = options
-  const leaderless: Histogram | undefined = options.metrics?.histogram(
+  const leaderlessHistogram: Histogram | undefined = options.metrics?.histogram(
     'leaderless_ms',
     'Time without a known leader in milliseconds',
   )
   let lastContent: string | undefined
-  let writtenAt = -Infinity
+  let lastWrittenAt = -Infinity
   let leaderlessSince: number | undefined = timers.now()
 
   const isDue = (content: string) => {
-    const period = content === lastContent ? SAME_PERIOD_MS : CHANGED_PERIOD_MS
-    if (timers.now() - writtenAt < period) return false
+    const period = content === lastContent ? REPEATED_LINE_INTERVAL_MS : CHANGED_LINE_INTERVAL_MS
+    if (timers.now() - lastWrittenAt < period) return false
     lastContent = content
-    writtenAt = timers.now()
+    lastWrittenAt = timers.now()
     return true
   }
   const leaderlessMs = () => timers.now() - (leaderlessSince ?? timers.now())
   return {
-    recordLostRound: ({ term, isPreVote, members, answers }) => {
+    recordFailedRound: ({ term, isPreVote, members, answers }) => {
       const kinds = Object.fromEntries(
         Object.entries(members).map(([name, { kind }]) => [name, kind]),
       )
-      // The term is left out: it may rise from round to round and nothing else change.
+      // The term is not part of the content: it may rise each round while nothing else changes.
       if (!isDue(JSON.stringify([isPreVote, answers, kinds]))) return
       const fields = { term, isPreVote, answers, kinds, leaderlessMs: leaderlessMs() }
       logger.warn('raft.notElected', fields)
     },
-    recordBystander: (kind, mayVote) => {
+    recordIneligible: (kind, mayVote) => {
       if (!isDue(JSON.stringify([kind, mayVote]))) return
       logger.warn('raft.notStanding', { kind, mayVote, leaderlessMs: leaderlessMs() })
     },
@@ -83,7 +83,7 @@
         return
       }
       if (leaderlessSince === undefined) return
-      leaderless?.record(leaderlessMs())
+      leaderlessHistogram?.record(leaderlessMs())
       leaderlessSince = undefined
       lastContent = undefined
     },
--- a/packages/control/src/raft/member.ts
+++ b/packages/control/src/raft/member.ts
@@ -1,14 +1,14 @@
 /**
- * One member of the control group: elections with pre-vote, replication, a leader lease on the
- * monotonic clock, snapshots, and changes of membership one member at a time. After Ongaro's
- * dissertation "Consensus: Bridging Theory and Practice" (2014), sections 3, 4, 6 and 9.6.
+ * Raft member of the control group: elections with pre-vote, replication, a time-based leader lease,
+ * snapshots, and single-member membership changes. Based on Ongaro's dissertation "Consensus: Bridging
+ * Theory and Practice" (2014), sections 3, 4, 6 and 9.6.
  */
 import { SpoolgateError } from '@spoolgate/core'
 import { Subject, type Subscription } from 'rxjs'
-import type { Ballot, LeaseHolder, LogEntry } from '../log/logStore.js'
+import type { VoteState, LeaseHolder, LogEntry } from '../log/logStore.js'
 import { createAppliedLog } from './appliedLog.js'
 import { createElectionReport } from './electionReport.js'
-import { countDifferences, countMajority } from './group.js'
+import { countChangedMembers, countMajority } from './group.js'
 import type {
   AppendReply,
   AppendRequest,
@@ -19,14 +19,14 @@
   VoteReply,
   VoteRequest,
 } from './messages.js'
-import { createLeasePromise } from './leasePromise.js'
+import { createLeaseGrant } from './leaseGrant.js'
 import { createMembership, type GroupCommand } from './membership.js'
 import { createProposals } from './proposals.js'
 import { createReplicator, type Replicator } from './replicator.js'
 import type { RaftMember, RaftMemberOptions, RaftRole } from './types.js'
-import { askMembersForVotes } from './votes.js'
+import { runVoteRound } from './votes.js'
 
-/** Part of the election timeout for which an acknowledged heartbeat gives a lease. */
+/** Lease duration after an acknowledged heartbeat, as a fraction of the election timeout. */
 const LEASE_RATIO = 0.9
 
 /** Creates a member and starts its election timer. */
@@ -38,27 +38,28 @@
   let role: RaftRole = 'follower'
   let leader: string | undefined
   let leaderUrl: string | undefined
-  const promise = createLeasePromise({
+  const leaseGrant = createLeaseGrant({
     timers,
     random,
     electionMs: options.electionMs,
     startedAt: options.startedAt ?? timers.now(),
   })
-  /** Term for which this member is asking for real votes: it may still win it. */
+  /** Term of the election that this member currently runs and may still win. */
   let campaignTerm: number | undefined
-  /** Voters whose addresses were answered under another name: names of disks that never return. */
+  /** Voters whose disks are lost: another instance replied at their addresses. */
   const lostVoters = new Set<string>()
   let electionTimer: Subscription | undefined
   let replicator: Replicator | undefined
   let isClosed = false
-  /** Followers take one message at a time, so that log changes never overlap. */
-  let inbox: Promise<unknown> = Promise.resolve()
+  /** Processes one message at a time, so that log changes never overlap. */
+  let messageQueue: Promise<unknown> = Promise.resolve()
 
-  const term = () => store.ballot().term
+  const term = () => store.voteState().term
   const membership = createMembership({ name, store, founders: options.founders })
-  const saveBallot = (change: Partial<Ballot>) => store.saveBallot({ ...store.ballot(), ...change })
+  const saveVoteState = (change: Partial<VoteState>) =>
+    store.saveVoteState({ ...store.voteState(), ...change })
   if (options.isFounding && store.lastIndex() === 0 && term() === 0) {
-    void saveBallot({ mayVote: true })
+    void saveVoteState({ mayVote: true })
   }
   const applied = createAppliedLog({
     store,
@@ -70,45 +71,45 @@
   })
   const { commitIndex } = applied
 
-  const followLeader = (found: string | undefined, url: string | undefined) => {
-    leader = found
+  const followLeader = (newLeader: string | undefined, url: string | undefined) => {
+    leader = newLeader
     leaderUrl = url
-    report.recordLeader(found)
+    report.recordLeader(newLeader)
   }
   const startElectionTimer = () => {
     electionTimer?.unsubscribe()
     if (isClosed) return
-    electionTimer = timers.after(promise.drawElectionDelay()).subscribe(() => {
+    electionTimer = timers.after(leaseGrant.drawElectionTimeout()).subscribe(() => {
       startElectionTimer()
       if (role !== 'leader') {
-        // Learners stand in no election, and must see all the same that their leader is gone.
+        // Learners do not run elections, but must also notice that their leader is gone.
         followLeader(undefined, undefined)
       }
       void runElection()
     })
   }
-  const becomeFollower = (found: string | undefined, url: string | undefined) => {
+  const becomeFollower = (newLeader: string | undefined, url: string | undefined) => {
     if (role === 'leader') {
-      logger.warn('raft.steppedDown', { term: term(), leader: found })
+      logger.warn('raft.steppedDown', { term: term(), leader: newLeader })
       replicator?.close()
       replicator = undefined
       proposals.failAll()
     }
     role = 'follower'
-    followLeader(found, url)
+    followLeader(newLeader, url)
     startElectionTimer()
   }
   const adoptTerm = async (next: number) => {
     if (next <= term()) return
     becomeFollower(undefined, undefined)
-    await saveBallot({ term: next, votedFor: undefined })
+    await saveVoteState({ term: next, votedFor: undefined })
   }
 
-  const appendOwn = (command: unknown): LogEntry => {
+  const appendLocal = (command: unknown): LogEntry => {
     const entry = { index: store.lastIndex() + 1, term: term(), command }
     membership.observe(entry)
-    void store.append([entry]).then(() => replicator?.recordOwn())
-    replicator?.wake()
+    void store.append([entry]).then(() => replicator?.recordLocalAppend())
+    replicator?.sendNow()
     return entry
   }
   const becomeLeader = (lost: readonly string[]) => {
@@ -126,39 +127,39 @@
       timers,
       heartbeatMs: options.heartbeatMs,
       listMembers: membership.members,
-      listDeciding: () => membership.listDeciding(commitIndex()),
+      listCommitGroups: () => membership.listCommitGroups(commitIndex()),
       commitIndex,
       onCommit: (index) => {
-        const isChanging = membership.changedAt() > commitIndex()
+        const isChanging = membership.lastChangeIndex() > commitIndex()
         void applied.advance(index)
-        // Until a new voter knows that it is one, the loss of the others would leave it no vote.
-        if (isChanging && membership.changedAt() <= index) replicator?.wake()
+        // Until a new voter knows that its change is committed, it cannot vote if the other voters are lost.
+        if (isChanging && membership.lastChangeIndex() <= index) replicator?.sendNow()
       },
-      onHigherTerm: (found) => void adoptTerm(found),
-      onLost: () => becomeFollower(undefined, undefined),
-      lostAfterMs: options.electionMs * 2,
+      onHigherTerm: (higherTerm) => void adoptTerm(higherTerm),
+      onQuorumLost: () => becomeFollower(undefined, undefined),
+      quorumTimeoutMs: options.electionMs * 2,
     })
-    appendOwn(membership.buildFirstCommand(lost))
+    appendLocal(membership.buildFirstCommand(lost))
     elected.next(term())
   }
 
   const askForVotes = async (isPreVote: boolean, voteTerm: number, endedTerms: EndedTerms) => {
-    // A member stands for election only once its own promise no longer keeps it from voting.
-    const heldBackBy = isPreVote ? findHolder(endedTerms) : undefined
-    const groups = membership.listElecting(commitIndex())
-    const outcome = await askMembersForVotes({
+    // A member does not vote for itself while the lease that it granted to a leader may be valid.
+    const heldBackBy = isPreVote ? findLeaseHolder(endedTerms) : undefined
+    const groups = membership.listElectionGroups(commitIndex())
+    const outcome = await runVoteRound({
       groups,
-      lostBefore: [...lostVoters, ...membership.listLost()],
+      knownLostVoters: [...lostVoters, ...membership.listLostVoters()],
       transport,
-      onHigherTerm: async (found) => {
-        if (found > term()) await adoptTerm(found)
+      onReplyTerm: async (replyTerm) => {
+        if (replyTerm > term()) await adoptTerm(replyTerm)
       },
       onLostVoter: (voter, url, found) => {
         if (lostVoters.has(voter)) return
         lostVoters.add(voter)
         report.recordLostVoter(voter, url, found)
       },
-      own: {
+      ownReply: {
         voter: name,
         term: voteTerm,
         isGranted: heldBackBy === undefined,
@@ -178,13 +179,13 @@
     const isFollowing = leader !== undefined || isClosed
     if (!outcome.isWon && !isFollowing) {
       const members = membership.members()
-      report.recordLostRound({ term: voteTerm, isPreVote, members, answers: outcome.answers })
+      report.recordFailedRound({ term: voteTerm, isPreVote, members, answers: outcome.answers })
     }
     return outcome
   }
-  /** A vote for a member may become its lease, as an acknowledged heartbeat does. */
+  /** A granted vote can start the candidate's lease, as an acknowledged heartbeat does. */
   const saveVote = (voteTerm: number, candidate: string) =>
-    saveBallot({
+    saveVoteState({
       term: voteTerm,
       votedFor: candidate,
       leaseHolder: { name: candidate, term: voteTerm },
@@ -194,49 +195,49 @@
   const isCampaigning = () => campaignTerm !== undefined && isCandidateOf(campaignTerm)
   const runElection = async () => {
     if (isClosed || role === 'leader') return
-    const { mayVote } = store.ballot()
+    const { mayVote } = store.voteState()
     if (!membership.isVoter() || !mayVote) {
-      report.recordBystander(membership.members()[name]?.kind, mayVote)
+      report.recordIneligible(membership.members()[name]?.kind, mayVote)
       return
     }
-    const started = term()
+    const startTerm = term()
     role = 'candidate'
     followLeader(undefined, undefined)
-    // An earlier campaign that has not been won by now is given up, so that nobody waits for it.
+    // Abandons an earlier campaign that was not won, so that other members need not wait for it.
     campaignTerm = undefined
-    const { isWon, endedTerms } = await askForVotes(true, started + 1, {})
-    if (!isWon || !isCandidateOf(started)) return
-    campaignTerm = started + 1
+    const { isWon, endedTerms } = await askForVotes(true, startTerm + 1, {})
+    if (!isWon || !isCandidateOf(startTerm)) return
+    campaignTerm = startTerm + 1
     startElectionTimer()
-    await saveVote(started + 1, name)
-    const outcome = await askForVotes(false, started + 1, endedTerms)
-    const isElected = outcome.isWon && isCampaigning() && campaignTerm === started + 1
+    await saveVote(startTerm + 1, name)
+    const outcome = await askForVotes(false, startTerm + 1, endedTerms)
+    const isElected = outcome.isWon && isCampaigning() && campaignTerm === startTerm + 1
     if (isElected) becomeLeader(outcome.lostVoters)
   }
 
   const isUpToDate = (request: VoteRequest) =>
     request.lastTerm > store.lastTerm() ||
     (request.lastTerm === store.lastTerm() && request.lastIndex >= store.lastIndex())
-  const hasLiveLeader = () => (role === 'leader' ? hasLease() : promise.isLeaderAlive())
-  const findHolder = (endedTerms: EndedTerms) =>
-    promise.findHolder(store.ballot(), { ...endedTerms, [name]: findEndedTerm() })
-  /** Highest term that this member certainly does not lead, now or later. */
+  const hasLiveLeader = () => (role === 'leader' ? hasLease() : leaseGrant.isLeaderAlive())
+  const findLeaseHolder = (endedTerms: EndedTerms) =>
+    leaseGrant.findLeaseHolder(store.voteState(), { ...endedTerms, [name]: findEndedTerm() })
+  /** Highest term that this member does not lead and never will. */
   const findEndedTerm = () => (role === 'leader' || isCampaigning() ? term() - 1 : term())
   const hasLease = () => {
     if (role !== 'leader' || !replicator) return false
-    // The others' clocks went on while this machine was suspended; they may have another leader.
+    // This clock includes suspended time, during which the others may have elected another leader.
     const now = timers.promiseNow()
-    return now < replicator.promisedAt() + options.electionMs * LEASE_RATIO
+    return now < replicator.leaseConfirmedAt() + options.electionMs * LEASE_RATIO
   }
 
   const findRefusal = (request: VoteRequest): VoteRefusal | undefined => {
-    // A member that still receives from its leader does not help to depose it; the lease rests on this.
+    // A member that still receives from its leader votes for nobody else; the lease relies on this.
     if (hasLiveLeader()) return 'leaderAlive'
-    if (!store.ballot().mayVote) return 'mayNotVote'
+    if (!store.voteState().mayVote) return 'mayNotVote'
     if (request.term < term()) return 'oldTerm'
     return isUpToDate(request) ? undefined : 'behind'
   }
-  const voteNow = async (request: VoteRequest): Promise<VoteReply> => {
+  const processVote = async (request: VoteRequest): Promise<VoteReply> => {
     const reply = (refusal?: VoteRefusal, heldBackBy?: LeaseHolder): VoteReply => ({
       voter: name,
       term: term(),
@@ -247,11 +248,11 @@
     })
     const refusal = findRefusal(request)
     if (refusal) return reply(refusal)
-    const holder = findHolder(request.endedTerms)
+    const holder = findLeaseHolder(request.endedTerms)
     if (holder) return reply('heldBack', holder)
     if (request.isPreVote) return reply()
     await adoptTerm(request.term)
-    const { votedFor } = store.ballot()
+    const { votedFor } = store.voteState()
     if (term() !== request.term || (votedFor !== undefined && votedFor !== request.candidate)) {
       return reply(term() === request.term ? 'votedOther' : 'oldTerm')
     }
@@ -260,24 +261,24 @@
     return reply()
   }
 
-  /** Accepts the sender as leader; false when its term is over. */
+  /** Accepts the sender as leader; returns false if its term is outdated. */
   const acceptLeader = async (from: { term: number; leader: string; leaderUrl: string }) => {
     if (from.term < term()) return false
     await Promise.all([adoptTerm(from.term), saveLeaseHolder(from.leader, from.term)])
-    promise.recordContact()
+    leaseGrant.recordContact()
     becomeFollower(from.leader, from.leaderUrl)
     return true
   }
-  /** Whom this member follows must be on the disk before a lease can rest on its answer. */
+  /** The followed leader must be on disk before a reply can support its lease. */
   const saveLeaseHolder = async (leaderName: string, leaderTerm: number) => {
-    const known = store.ballot().leaseHolder
+    const known = store.voteState().leaseHolder
     if (known?.name === leaderName && known.term === leaderTerm) return
-    await saveBallot({ leaseHolder: { name: leaderName, term: leaderTerm } })
+    await saveVoteState({ leaseHolder: { name: leaderName, term: leaderTerm } })
   }
-  const takeEntries = async (request: AppendRequest) => {
-    const isHeld = (entry: LogEntry) =>
+  const appendEntries = async (request: AppendRequest) => {
+    const isStored = (entry: LogEntry) =>
       entry.index <= store.baseIndex() || store.findTerm(entry.index) === entry.term
-    const added = request.entries.filter((entry) => !isHeld(entry))
+    const added = request.entries.filter((entry) => !isStored(entry))
     if (added.length === 0) return
     if (added[0].index <= store.lastIndex()) {
       invariants.assert('logKeepsCommitted', added[0].index > commitIndex(), () => ({
@@ -290,7 +291,7 @@
     added.forEach(membership.observe)
     await store.append(added)
   }
-  const appendNow = async (request: AppendRequest): Promise<AppendReply> => {
+  const processAppend = async (request: AppendRequest): Promise<AppendReply> => {
     if (!(await acceptLeader(request))) return { term: term(), isAccepted: false, index: 0 }
     const { previousIndex, previousTerm, entries } = request
     const isMatching =
@@ -299,23 +300,23 @@
       const index = Math.max(store.baseIndex() + 1, Math.min(previousIndex, store.lastIndex() + 1))
       return { term: term(), isAccepted: false, index }
     }
-    await takeEntries(request)
+    await appendEntries(request)
     const matched = previousIndex + entries.length
     await applied.advance(Math.min(request.commitIndex, matched))
-    // What the sender committed in its own term covers every change of the group before it.
-    const isCurrent = matched >= request.commitIndex
-    const isOfTerm = store.findTerm(request.commitIndex) === request.term
-    if (isCurrent && isOfTerm) await membership.recordTakenIn()
+    // An entry committed in the sender's own term implies that all earlier membership changes are committed.
+    const isCaughtUp = matched >= request.commitIndex
+    const isCommittedInTerm = store.findTerm(request.commitIndex) === request.term
+    if (isCaughtUp && isCommittedInTerm) await membership.enableVoting()
     return { term: term(), isAccepted: true, index: matched }
   }
-  const installNow = async (request: InstallRequest): Promise<InstallReply> => {
+  const processInstall = async (request: InstallRequest): Promise<InstallReply> => {
     if (!(await acceptLeader(request))) return { term: term() }
     await applied.install(request.snapshot)
     return { term: term() }
   }
   const enqueue = <T>(run: () => Promise<T>): Promise<T> => {
-    const result = inbox.then(run)
-    inbox = result.catch(() => {})
+    const result = messageQueue.then(run)
+    messageQueue = result.catch(() => {})
     return result
   }
 
@@ -328,11 +329,11 @@
   const isCurrent = () => !isClosed && hasLease() && applied.appliedTerm() === term()
   const propose = (command: unknown): Promise<unknown> => {
     checkLeader()
-    return proposals.add(appendOwn(command))
+    return proposals.add(appendLocal(command))
   }
 
   startElectionTimer()
-  // A group of one has nobody to wait for.
+  // A single-voter group need not wait for the election timeout.
   if (membership.isVoter() && countMajority(membership.members()) === 1) void runElection()
 
   return {
@@ -353,30 +354,30 @@
     checkCurrent: () => {
       checkLeader()
       if (isCurrent()) return
-      throw new SpoolgateError('controlUnavailable', 'the lease is not held now; try again', {
+      throw new SpoolgateError('controlUnavailable', 'the leader lease is not held; try again', {
         retryAfterSeconds: 1,
       })
     },
     listFollowers: () => replicator?.listFollowers() ?? [],
     changeMembers: async (next) => {
       checkLeader()
-      if (membership.changedAt() > commitIndex() || applied.appliedTerm() !== term()) {
-        throw new SpoolgateError('conflict', 'a change of the group is under way; try again')
+      if (membership.lastChangeIndex() > commitIndex() || applied.appliedTerm() !== term()) {
+        throw new SpoolgateError('conflict', 'another membership change is in progress; try again')
       }
-      if (countDifferences(membership.members(), next) > 1) {
-        throw new SpoolgateError('invalidRequest', 'change the group by one member at a time')
+      if (countChangedMembers(membership.members(), next) > 1) {
+        throw new SpoolgateError('invalidRequest', 'change one member of the group at a time')
       }
       await propose({ group: 'members', members: next } satisfies GroupCommand)
     },
-    handleVote: (request) => enqueue(() => voteNow(request)),
-    handleAppend: (request) => enqueue(() => appendNow(request)),
-    handleInstall: (request) => enqueue(() => installNow(request)),
+    handleVote: (request) => enqueue(() => processVote(request)),
+    handleAppend: (request) => enqueue(() => processAppend(request)),
+    handleInstall: (request) => enqueue(() => processInstall(request)),
     close: async () => {
       isClosed = true
       electionTimer?.unsubscribe()
       replicator?.close()
       proposals.failAll()
-      await inbox
+      await messageQueue
       await store.close()
     },
   }
--- a/packages/control/src/raft/replicator.ts
+++ b/packages/control/src/raft/replicator.ts
@@ -1,6 +1,6 @@
 /**
- * Replication by a leader: one task for each other member, which hands over entries, or a
- * heartbeat when there are none, and follows what the member acknowledges.
+ * Log replication by a leader: one task per other member sends entries, or heartbeats when there are
+ * none, and tracks what the member acknowledges.
  */
 import { type TimerService, waitFor } from '@spoolgate/core'
 import type { Subscription } from 'rxjs'
@@ -13,49 +13,49 @@
 export interface ReplicatorOptions {
   readonly name: string
   readonly url: string
-  /** Term of this leadership. */
+  /** Term of this leader. */
   readonly term: number
   readonly store: LogStore
   readonly transport: RaftTransport
   readonly timers: TimerService
   readonly heartbeatMs: number
-  /** Time without a majority after which leadership is given up, in ms. */
-  readonly lostAfterMs: number
+  /** Time without acknowledgements of a majority after which the leader steps down, in ms. */
+  readonly quorumTimeoutMs: number
   readonly listMembers: () => MemberMap
-  /** Groups of which each must hold a majority before an entry is committed or a lease held. */
-  readonly listDeciding: () => readonly MemberMap[]
+  /** Groups in each of which a majority must acknowledge an entry or a lease. */
+  readonly listCommitGroups: () => readonly MemberMap[]
   readonly commitIndex: () => number
   readonly onCommit: (index: number) => void
   readonly onHigherTerm: (term: number) => void
-  /** Called when no majority has answered for a while. */
-  readonly onLost: () => void
+  /** Called when no majority has replied for {@link quorumTimeoutMs}. */
+  readonly onQuorumLost: () => void
 }
 
-/** Replication of one leadership. */
+/** Replication during one leader's term. */
 export interface Replicator {
-  /** Notes that the leader's own disk holds more. */
-  recordOwn(): void
-  /** Sends new entries without waiting for the next heartbeat. */
-  wake(): void
-  /** Latest instant at which a majority was known to follow, in ms of the monotonic clock. */
+  /** Advances the commit index after the leader's own log became durable further. */
+  recordLocalAppend(): void
+  /** Sends pending entries and the commit index without waiting for the next heartbeat. */
+  sendNow(): void
+  /** Send time of the latest messages that a majority acknowledged, in ms of the monotonic clock. */
   confirmedAt(): number
-  /** The same by the clock for promises; the lease rests on it. */
-  promisedAt(): number
+  /** The same on the clock that includes the time while the machine is suspended; the lease uses it. */
+  leaseConfirmedAt(): number
   listFollowers(): FollowerProgress[]
   close(): void
 }
 
-/** Entries in one message. */
+/** Maximum number of entries in one message. */
 const MAX_ENTRIES = 512
 /**
- * Bytes of entries in one message, if there is more than one: 0.3 s on the slowest link of the users'
- * deployments, 7 Mbit/s, within the time limit of a message of 0.5 s. A message that takes longer is
- * sent again whole, and its follower never catches up.
+ * Maximum bytes of entries in one message, unless a single entry is larger: 0.3 s on the slowest link in
+ * use, 7 Mbit/s, within the message timeout of 0.5 s. A message that times out is sent again in full, so
+ * with larger messages a follower would never catch up.
  */
 const MAX_BYTES = 256 * 1024
 
-/** The first entries that one message may carry; one at least. */
-function listCarried(entries: readonly LogEntry[]): LogEntry[] {
+/** Returns the first entries that fit into one message, at least one. */
+function listBatch(entries: readonly LogEntry[]): LogEntry[] {
   let bytes = 0
   const end = entries.findIndex((entry, index) => {
     bytes += JSON.stringify(entry.command).length
@@ -67,12 +67,12 @@
 interface Peer {
   nextIndex: number
   matchIndex: number
-  /** When the last acknowledged message was sent. */
+  /** Send time of the last acknowledged message. */
   confirmedAt: number
-  /** The same by the clock for promises. */
-  promisedAt: number
-  /** Ends the wait for the next heartbeat. */
-  wake: AbortController
+  /** The same on the clock that includes suspended time. */
+  leaseConfirmedAt: number
+  /** Aborts the wait for the next heartbeat. */
+  wakeController: AbortController
 }
 
 /** Creates the replication of a new leader. */
@@ -82,70 +82,73 @@
   const startedAt = timers.now()
   let isClosed = false
 
-  const recordProgress = () => {
+  const advanceCommitIndex = () => {
     if (isClosed) return
     const findMatch = (member: string) =>
       member === name ? store.durableIndex() : (peers.get(member)?.matchIndex ?? 0)
-    const reached = options.listDeciding().map((members) => findMajorityValue(members, findMatch))
+    const reached = options
+      .listCommitGroups()
+      .map((members) => findMajorityValue(members, findMatch))
     const index = Math.min(...reached)
-    // Only an entry of its own term may be counted (Raft, figure 8).
+    // A leader commits only entries of its own term by counting replicas (Raft paper, figure 8).
     if (index > options.commitIndex() && store.findTerm(index) === term) options.onCommit(index)
   }
-  // A lease rests on all groups that decide, as a commit does: while the group changes, whoever is
-  // elected by half of the group before the change need not meet a majority of the one after it.
-  const findReached = (now: number, findConfirmed: (peer: Peer) => number) => {
-    const findOne = (member: string) => {
+  // Like a commit, a lease needs a majority in each commit group: during a membership change, the voters
+  // that elect a leader by half of the old group need not intersect a majority of the new one.
+  const findQuorumInstant = (now: number, findConfirmed: (peer: Peer) => number) => {
+    const findInstant = (member: string) => {
       const peer = peers.get(member)
       if (member === name) return now
       return peer ? findConfirmed(peer) : -Infinity
     }
-    const reached = options.listDeciding()
-    return Math.min(...reached.map((members) => findMajorityValue(members, findOne)))
+    const reached = options.listCommitGroups()
+    return Math.min(...reached.map((members) => findMajorityValue(members, findInstant)))
   }
-  const confirmedAt = () => findReached(timers.now(), (peer) => peer.confirmedAt)
-  const promisedAt = () => findReached(timers.promiseNow(), (peer) => peer.promisedAt)
+  const confirmedAt = () => findQuorumInstant(timers.now(), (peer) => peer.confirmedAt)
+  const leaseConfirmedAt = () =>
+    findQuorumInstant(timers.promiseNow(), (peer) => peer.leaseConfirmedAt)
 
   const sendSnapshot = async (member: string, info: MemberInfo, peer: Peer) => {
     const snapshot = store.snapshot()
     if (!snapshot) return
     const request = { term, leader: name, leaderUrl: options.url, snapshot }
     const sentAt = timers.now()
-    const promisedFrom = timers.promiseNow()
+    const leaseSentAt = timers.promiseNow()
     const reply = await transport.send(member, info.url, 'install', request)
     if (reply.term > term) return options.onHigherTerm(reply.term)
     peer.confirmedAt = sentAt
-    peer.promisedAt = promisedFrom
+    peer.leaseConfirmedAt = leaseSentAt
     peer.matchIndex = Math.max(peer.matchIndex, snapshot.index)
     peer.nextIndex = peer.matchIndex + 1
   }
   const sendEntries = async (member: string, info: MemberInfo, peer: Peer) => {
     const previousIndex = peer.nextIndex - 1
     const sentAt = timers.now()
-    const promisedFrom = timers.promiseNow()
+    const leaseSentAt = timers.promiseNow()
     const reply = await transport.send(member, info.url, 'append', {
       term,
       leader: name,
       leaderUrl: options.url,
       previousIndex,
       previousTerm: store.findTerm(previousIndex) ?? 0,
-      entries: listCarried(store.list(peer.nextIndex, MAX_ENTRIES)),
+      entries: listBatch(store.listEntries(peer.nextIndex, MAX_ENTRIES)),
       commitIndex: options.commitIndex(),
     })
     if (reply.term > term) return options.onHigherTerm(reply.term)
     peer.confirmedAt = sentAt
-    peer.promisedAt = promisedFrom
+    peer.leaseConfirmedAt = leaseSentAt
     if (!reply.isAccepted) {
       peer.nextIndex = Math.max(1, reply.index)
       return
     }
     peer.matchIndex = Math.max(peer.matchIndex, reply.index)
     peer.nextIndex = peer.matchIndex + 1
-    recordProgress()
+    advanceCommitIndex()
   }
   const waitForWork = async (peer: Peer) => {
     if (peer.nextIndex <= store.lastIndex()) return
-    await waitFor(timers, options.heartbeatMs, peer.wake.signal)
-    if (peer.wake.signal.aborted && !isClosed) peer.wake = new AbortController()
+    await waitFor(timers, options.heartbeatMs, peer.wakeController.signal)
+    if (peer.wakeController.signal.aborted && !isClosed) peer.wakeController = new AbortController()
   }
   const isMember = (member: string) => member in options.listMembers()
   const runPeer = async (member: string, info: MemberInfo, peer: Peer) => {
@@ -168,28 +171,28 @@
         nextIndex: store.lastIndex() + 1,
         matchIndex: 0,
         confirmedAt: -Infinity,
-        promisedAt: -Infinity,
-        wake: new AbortController(),
+        leaseConfirmedAt: -Infinity,
+        wakeController: new AbortController(),
       }
       peers.set(member, peer)
       void runPeer(member, info, peer)
     }
   }
-  const watch: Subscription = timers.every(options.heartbeatMs).subscribe(() => {
+  const quorumCheck: Subscription = timers.every(options.heartbeatMs).subscribe(() => {
     startPeers()
     const lastReceivedAt = Math.max(confirmedAt(), startedAt)
-    if (timers.now() - lastReceivedAt > options.lostAfterMs) options.onLost()
+    if (timers.now() - lastReceivedAt > options.quorumTimeoutMs) options.onQuorumLost()
   })
   startPeers()
 
   return {
-    recordOwn: recordProgress,
-    wake: () => {
+    recordLocalAppend: advanceCommitIndex,
+    sendNow: () => {
       startPeers()
-      for (const peer of peers.values()) peer.wake.abort()
+      for (const peer of peers.values()) peer.wakeController.abort()
     },
     confirmedAt,
-    promisedAt,
+    leaseConfirmedAt,
     listFollowers: () =>
       [...peers].map(([member, peer]) => ({
         name: member,
@@ -198,8 +201,8 @@
       })),
     close: () => {
       isClosed = true
-      watch.unsubscribe()
-      for (const peer of peers.values()) peer.wake.abort()
+      quorumCheck.unsubscribe()
+      for (const peer of peers.values()) peer.wakeController.abort()
     },
   }
 }
--- a/packages/router/src/decide/serverSelector.ts
+++ b/packages/router/src/decide/serverSelector.ts
@@ -17,7 +17,7 @@
   createHintTable,
   hashText,
   POLICIES,
-  type Ejection,
+  type OutlierEjection,
   type HintTable,
   type PolicyState,
   type PrefixChain,
@@ -31,7 +31,7 @@
   readonly hall: string
   readonly region: string
   readonly state: PolicyState
-  readonly ejection: Ejection
+  readonly ejection: OutlierEjection
   readonly client: HttpClient
   readonly timers: TimerService
   readonly random: RandomSource
@@ -151,8 +151,8 @@
       chain: request.chain,
       servers,
       isAllowed: createFilter(request, servers),
-      distanceMs: findDistanceMs,
-      slowStartMs: (server) => ejection.findSlowStartMs(server, timers.now()),
+      networkDelayMs: findDistanceMs,
+      slowStartPenaltyMs: (server) => ejection.findSlowStartPenaltyMs(server, timers.now()),
       parameters: request.parameters,
       boundedLoadFactor: request.fleet.routing.boundedLoadFactor,
       state: policyState,
@@ -163,7 +163,7 @@
   const recordHints = (table: HintTable, chain: PrefixChain, hints: ReplyHints) => {
     const now = timers.now()
     table.record(hints, now)
-    table.recordCached(chain, hints, hints.matchedTokens, now)
+    table.recordCachedPrefix(chain, hints, hints.matchedTokens, now)
   }
   const probe = async (candidate: RankedCandidate, chain: PrefixChain) => {
     const { id, sidecarUrl } = candidate.server
@@ -206,14 +206,15 @@
     return rank(request, policy, { ...state, hints })
   }
   const rankCandidates = (request: SelectionRequest, policy: PolicyName) => {
-    const { probes, probesInDoubt = 0 } = POLICIES[policy]
+    const { probes, probesWhenUncertain = 0 } = POLICIES[policy]
     if (probes > 0) return chooseAmongProbed(request, policy, probes)
     if (options.findExactHints) return rankWithExactHints(request, policy, options.findExactHints)
     const ranked = rank(request, policy)
     const fleetSize = request.fleet.backendServersByTarget.get(request.target)?.length ?? 0
-    const isUncertain = ranked[0]?.isGuess === true && request.chain.levels.length > 0
-    if (!isUncertain || probesInDoubt === 0 || fleetSize > MAX_PROBED_FLEET_SIZE) return ranked
-    return chooseAmongProbed(request, policy, probesInDoubt)
+    const isUncertain = ranked[0]?.isMatchEstimated === true && request.chain.levels.length > 0
+    if (!isUncertain || probesWhenUncertain === 0 || fleetSize > MAX_PROBED_FLEET_SIZE)
+      return ranked
+    return chooseAmongProbed(request, policy, probesWhenUncertain)
   }
 
   return {
--- a/packages/router/src/limits/serverLimits.ts
+++ b/packages/router/src/limits/serverLimits.ts
@@ -5,7 +5,7 @@
  */
 import type { AssignedLimit, LimitReport, LimitsUpdate, ObservedLimits } from '@spoolgate/control'
 import type { BackendServerId } from '@spoolgate/core'
-import { CARRY_OVER_MS } from '@spoolgate/routing'
+import { CARRY_OVER_MAX_AGE_MS } from '@spoolgate/routing'
 import { LRUCache } from 'lru-cache'
 
 /** Whether a rate limit permits a request now. */
@@ -188,8 +188,13 @@
     },
     carryOver: (before, after, now) => {
       const state = states.get(before)
+<<<<<<< HEAD
       if (!state || now - state.at > CARRY_OVER_MS || states.has(after)) return
       states.set(after, { ...state, acknowledged: undefined, share: 0, tokens: 0 })
+=======
+      if (!state || now - state.at > CARRY_OVER_MAX_AGE_MS || states.has(after)) return
+      states.set(after, { ...state, acknowledged: undefined, part: 0, tokens: 0 })
+>>>>>>> next
     },
     isLimited: (server) => states.get(server)?.perSecond !== undefined,
     isProbeDue: (server, now) => {
--- a/packages/router/src/relay/relayParts.ts
+++ b/packages/router/src/relay/relayDependencies.ts
@@ -1,13 +1,13 @@
-/** Parts of a router that serving any request needs. */
+/** Dependencies that the relay of any request needs. */
 import type { ConfigFollower, ControlClient } from '@spoolgate/control'
 import type { Counter, Histogram } from '@spoolgate/core'
-import type { Ejection, PolicyState, RetryBudget } from '@spoolgate/routing'
+import type { OutlierEjection, PolicyState, RetryBudget } from '@spoolgate/routing'
 import type { ServerSelector } from '../decide/serverSelector.js'
 import type { DecisionLog } from '../decide/decisionLog.js'
 import type { TeamLimits } from '../limits/teamLimits.js'
-import type { AttemptParts } from './attempt.js'
+import type { AttemptDependencies } from './attempt.js'
 
-/** Instruments of a router. */
+/** Metric instruments of a router. */
 export interface RouterInstruments {
   readonly requests: Counter
   readonly declines: Counter
@@ -18,17 +18,17 @@
   readonly firstTokenMs: Histogram
 }
 
-/** Parts shared by all requests of a router. */
-export interface RelayParts extends AttemptParts {
+/** Dependencies shared by all requests of a router. */
+export interface RelayDependencies extends AttemptDependencies {
   readonly config: ConfigFollower
   readonly control: ControlClient
   readonly serverSelector: ServerSelector
   readonly decisions: DecisionLog
   readonly state: PolicyState
-  readonly ejection: Ejection
+  readonly ejection: OutlierEjection
   readonly budget: RetryBudget
   readonly limits: TeamLimits
   readonly instruments: RouterInstruments
-  /** Keeps the router open until work that outlives its caller is done. */
-  readonly background: (work: Promise<unknown>) => void
+  /** Delays shutdown until work that may outlive its caller has finished. */
+  readonly trackBackgroundWork: (work: Promise<unknown>) => void
 }
--- a/packages/router/src/relay/sinks.ts
+++ b/packages/router/src/relay/sinks.ts
@@ -1,20 +1,20 @@
-/** Where answers go: on to a caller as they come, or into memory until they are whole. */
+/** Response sinks: one forwards a response to the caller, the other buffers it in memory. */
 import type { ServerResponse } from 'node:http'
 import { formatErrorBody, type SpoolgateError } from '@spoolgate/core'
 import type { BodyFrame, HeadFrame } from '@spoolgate/routing'
-import type { AnswerSink } from './frameReader.js'
-import { formatContinued, type DeliveredStream } from './continuation.js'
+import type { ResponseSink } from './frameReader.js'
+import { formatContinuedChunk, type DeliveredStream } from './continuation.js'
 
-/** An answer held in memory. */
-export interface WholeAnswer {
+/** A complete response in memory. */
+export interface BufferedResponse {
   readonly head: HeadFrame
   readonly body: Buffer
 }
 
-/** Sink that keeps the answer until it is whole. */
-export interface BufferSink extends AnswerSink {
-  /** The whole answer; undefined before a head has arrived. */
-  findAnswer(): WholeAnswer | undefined
+/** Sink that buffers a response in memory. */
+export interface BufferSink extends ResponseSink {
+  /** Returns the buffered response; undefined before the head has arrived. */
+  findResponse(): BufferedResponse | undefined
 }
 
 const EVENT_STREAM = 'text/event-stream'
@@ -25,65 +25,65 @@
     : Buffer.from(body.base64, 'base64')
 }
 
-/** Formats an event as callers read it. */
+/** Formats a server-sent event. */
 function formatEvent(data: string): string {
   return `data: ${data}\n\n`
 }
 
-/** Creates a sink in memory. */
+/** Creates a sink that buffers in memory. */
 export function createBufferSink(): BufferSink {
-  const parts: Buffer[] = []
+  const chunks: Buffer[] = []
   let head: HeadFrame | undefined
   return {
-    onHead: (found) => {
-      head = found
+    onHead: (receivedHead) => {
+      head = receivedHead
     },
-    onData: (data) => void parts.push(Buffer.from(formatEvent(data))),
-    onBody: (body) => void parts.push(decodeBody(body)),
+    onData: (data) => void chunks.push(Buffer.from(formatEvent(data))),
+    onBody: (body) => void chunks.push(decodeBody(body)),
     flush: () => undefined,
-    findAnswer: () => head && { head, body: Buffer.concat(parts) },
+    findResponse: () => head && { head, body: Buffer.concat(chunks) },
   }
 }
 
-/** Sends a whole answer to a caller. */
-export function sendAnswer(response: ServerResponse, answer: WholeAnswer): void {
-  response.writeHead(answer.head.status, {
-    'content-type': answer.head.contentType,
-    'content-length': answer.body.length,
+/** Sends a complete response to the caller. */
+export function sendBufferedResponse(response: ServerResponse, buffered: BufferedResponse): void {
+  response.writeHead(buffered.head.status, {
+    'content-type': buffered.head.contentType,
+    'content-length': buffered.body.length,
   })
-  response.end(answer.body)
+  response.end(buffered.body)
 }
 
-/** Sink that relays a stream to a caller. */
-export interface StreamSink extends AnswerSink {
-  /** Payloads that the caller was sent. */
+/** Sink that relays the response of one or more attempts to the caller. */
+export interface StreamSink extends ResponseSink {
+  /** Event payloads passed on to the caller. */
   readonly delivered: readonly string[]
-  /** True once the caller has seen the head of a stream. */
+  /** Whether the head of a stream has been sent to the caller. */
   hasBegun(): boolean
-  /** Starts the next attempt; from now on parts repeat the identity of what was delivered. */
+  /** Prepares for the next attempt, whose chunks repeat the id of the delivered stream. */
   resumeFrom(delivered: DeliveredStream): void
-  /** Ends the answer after its last part. */
+  /** Ends the response to the caller. */
   finish(): void
-  /** Ends the answer with an explicit error event. */
+  /** Ends the stream with an error event. */
   fail(error: SpoolgateError): void
 }
 
 /** Options of {@link createStreamSink}. */
 export interface StreamSinkOptions {
   readonly response: ServerResponse
-  /** Called when the first part of the answer is passed on. */
+  /** Called when the first part of the response is passed on. */
   readonly onFirstToken: () => void
 }
 
-/** Creates a sink that relays to a caller. Answers that are not streams are kept until whole. */
+/** Creates a sink that relays to the caller. Responses other than streams are buffered until complete. */
 export function createStreamSink(options: StreamSinkOptions): StreamSink {
   const { response, onFirstToken } = options
   const delivered: string[] = []
   let pending = ''
   let hasBegun = false
-  let resumed: DeliveredStream | undefined
-  let whole = createBufferSink()
-  let isWhole = false
+  let resumedFrom: DeliveredStream | undefined
+  let bufferSink = createBufferSink()
+  let isBuffered = false
 
   const writePending = () => {
     if (pending === '') return true
@@ -100,12 +100,12 @@
     delivered,
     hasBegun: () => hasBegun,
     resumeFrom: (from) => {
-      resumed = from
-      whole = createBufferSink()
+      resumedFrom = from
+      bufferSink = createBufferSink()
     },
     onHead: (head) => {
-      isWhole = !head.contentType.startsWith(EVENT_STREAM)
-      if (isWhole) return whole.onHead(head)
+      isBuffered = !head.contentType.startsWith(EVENT_STREAM)
+      if (isBuffered) return bufferSink.onHead(head)
       if (hasBegun) return
       hasBegun = true
       response.writeHead(head.status, {
@@ -115,18 +115,18 @@
     },
     onData: (data) => {
       if (delivered.length === 0) onFirstToken()
-      const payload = resumed ? formatContinued(data, resumed) : data
+      const payload = resumedFrom ? formatContinuedChunk(data, resumedFrom) : data
       delivered.push(payload)
       pending += formatEvent(payload)
     },
     onBody: (body) => {
       onFirstToken()
-      whole.onBody(body)
+      bufferSink.onBody(body)
     },
     flush: () => (writePending() || response.destroyed ? undefined : waitUntilDrained()),
     finish: () => {
-      const answer = whole.findAnswer()
-      if (isWhole && answer) return sendAnswer(response, answer)
+      const buffered = bufferSink.findResponse()
+      if (isBuffered && buffered) return sendBufferedResponse(response, buffered)
       writePending()
       response.end()
     },
--- a/packages/router/src/server/callerRoutes.ts
+++ b/packages/router/src/server/callerRoutes.ts
@@ -15,7 +15,7 @@
 } from '@spoolgate/core'
 import { hashText, type PrefixChain } from '@spoolgate/routing'
 import type { CallContext } from '../relay/callContext.js'
-import type { RelayParts } from '../relay/relayParts.js'
+import type { RelayDependencies } from '../relay/relayDependencies.js'
 import { relayOnce } from '../relay/relayOnce.js'
 import { relayRepeatable } from '../relay/relayRepeatable.js'
 import {
@@ -33,7 +33,7 @@
 
 /** Options of {@link createCallerRoutes}. */
 export interface CallerRoutesOptions {
-  readonly parts: RelayParts
+  readonly parts: RelayDependencies
   readonly limits: BodyLimits
   /** Whether this router is shutting down and must not start further requests. */
   readonly isStopping: () => boolean
@@ -126,7 +126,10 @@
         )
       }
       if (!isAtMostOnce) return await relayRepeatable(parts, context)
-      const key = { key: callerKey ?? createUniqueId('auto'), isCallers: callerKey !== undefined }
+      const key = {
+        key: callerKey ?? createUniqueId('auto'),
+        isFromCaller: callerKey !== undefined,
+      }
       return await relayOnce(parts, context, key)
     } finally {
       release()
--- a/packages/router/src/server/routerServer.ts
+++ b/packages/router/src/server/routerServer.ts
@@ -20,9 +20,9 @@
 } from '@spoolgate/core'
 import { createConfigFollower, createControlClient, type ConfigFollower } from '@spoolgate/control'
 import {
-  createEjection,
+  createOutlierEjection,
   createHintTable,
-  createRendezvous,
+  createRendezvousHash,
   createRetryBudget,
   createSubsetWidths,
   type PolicyState,
@@ -30,7 +30,7 @@
 import { createServerSelector, type ServerSelectorOptions } from '../decide/serverSelector.js'
 import { createDecisionLog } from '../decide/decisionLog.js'
 import { createTeamLimits } from '../limits/teamLimits.js'
-import type { RelayParts, RouterInstruments } from '../relay/relayParts.js'
+import type { RelayDependencies, RouterInstruments } from '../relay/relayDependencies.js'
 import { createCallerRoutes } from './callerRoutes.js'
 
 /** Options of {@link createRouter}. */
@@ -66,7 +66,7 @@
    */
   readonly seed?: number
   /**
-   * Returns the exact cache contents of the backend servers, for the oracle policy of benchmarks.
+   * Returns the exact state of a backend server, for the oracle arm of benchmarks.
    * @default undefined
    */
   readonly findExactHints?: ServerSelectorOptions['findExactHints']
@@ -104,9 +104,9 @@
 function createPolicyState(): PolicyState {
   return {
     hints: createHintTable(),
-    rendezvous: createRendezvous(),
-    widths: createSubsetWidths(),
-    turns: new Map(),
+    rendezvous: createRendezvousHash(),
+    subsetWidths: createSubsetWidths(),
+    nextTurns: new Map(),
   }
 }
 
@@ -135,14 +135,14 @@
   const config = createConfigFollower(followerOptions)
   const state = createPolicyState()
   const findRouting = () => config.current()?.routing
-  const ejection = createEjection({
-    findMaxRatio: () => findRouting()?.maxEjectedRatio ?? DEFAULT_EJECTED_RATIO,
+  const ejection = createOutlierEjection({
+    findMaxEjectedRatio: () => findRouting()?.maxEjectedRatio ?? DEFAULT_EJECTED_RATIO,
   })
   const decisions = createDecisionLog(logger)
   const background = createBackgroundTasks()
   const control = createControlClient({ urls: options.control, client, timers })
   const limits = createTeamLimits({ router: instance, control, timers, logger })
-  const parts: RelayParts = {
+  const parts: RelayDependencies = {
     limits,
     client,
     timers,
@@ -168,7 +168,7 @@
     ejection,
     budget: createRetryBudget(() => findRouting()?.retryBudgetRatio ?? DEFAULT_RETRY_BUDGET_RATIO),
     instruments: createInstruments(metrics),
-    background: background.add,
+    trackBackgroundWork: background.add,
   }
 
   const serveExplanation = ({ response, params }: HttpExchange) => {
