--- a/packages/router/src/limits/serverLimits.ts
+++ b/packages/router/src/limits/serverLimits.ts
@@ -188,13 +188,8 @@
     },
     carryOver: (before, after, now) => {
       const state = states.get(before)
-<<<<<<< HEAD
-      if (!state || now - state.at > CARRY_OVER_MS || states.has(after)) return
-      states.set(after, { ...state, acknowledged: undefined, share: 0, tokens: 0 })
-=======
       if (!state || now - state.at > CARRY_OVER_MAX_AGE_MS || states.has(after)) return
-      states.set(after, { ...state, acknowledged: undefined, part: 0, tokens: 0 })
->>>>>>> next
+      states.set(after, { ...state, acknowledged: undefined, share: 0, tokens: 0 })
     },
     isLimited: (server) => states.get(server)?.perSecond !== undefined,
     isProbeDue: (server, now) => {
