--- a/packages/router/src/limits/serverLimits.ts
+++ b/packages/router/src/limits/serverLimits.ts
@@ -1,95 +1,96 @@
 /**
- * Keeps a router within its part of the rate limits that servers name for all routers together. Facts in, verdicts out;
- * no clock and no socket. Without a part of a limited server's rate, a router sends nothing there.
+ * Keeps a router within its share of the rate limits that servers announce for all routers together. Has no timers and
+ * does no I/O: callers pass in the time and the messages. A router without a share of a limited server's rate sends it
+ * nothing.
  */
 import type { AssignedLimit, LimitReport, LimitsUpdate, ObservedLimits } from '@spoolgate/control'
 import type { BackendServerId } from '@spoolgate/core'
 import { CARRY_OVER_MAX_AGE_MS } from '@spoolgate/routing'
 import { LRUCache } from 'lru-cache'
 
-/** Whether a limit permits a request now. */
+/** Whether a rate limit permits a request now. */
 export type LimitVerdict =
   | { readonly kind: 'open' }
-  /** Nothing until then, an instant of the clock that the facts were dated by, in ms. */
+  /** No request before `until`, in ms of the clock passed as `now`. */
   | { readonly kind: 'limited'; readonly until: number }
 
-/** What an answer of a server shows of its limit. */
+/** The rate limit in a server's response. */
 export interface LimitObservation {
-  /** Requests a second from all routers together; undefined where the server names no limit. */
+  /** Requests per second from all routers together; undefined if the server announces no limit. */
   readonly perSecond: number | undefined
   /** When the request was sent, in ms. */
   readonly sentAt: number
 }
 
-/** See {@link createServerLimits}. Instants are in ms of one monotonic clock. */
+/** See {@link createServerLimits}. Times are in ms of one monotonic clock. */
 export interface ServerLimits {
-  /** Records what an answer to this router shows; true where the limit changed. */
+  /** Records the limit in a response to this router; returns whether the limit changed. */
   recordResponse(server: BackendServerId, observation: LimitObservation, now: number): boolean
-  /** Applies what the leader knows from all routers, as of an instant at or after `askedAt`. */
-  applyUpdate(update: LimitsUpdate, askedAt: number, now: number): void
+  /** Applies the limits known to the leader, as of some time at or after `requestedAt`. */
+  applyUpdate(update: LimitsUpdate, requestedAt: number, now: number): void
   recordSend(server: BackendServerId, now: number): void
   judgeSend(server: BackendServerId, now: number): LimitVerdict
-  /** Keeps a recent limit for the next start of a server, which may have been the one that named it. */
+  /** Copies a recent limit to the next incarnation of a server, which may be the one that announced it. */
   carryOver(before: BackendServerId, after: BackendServerId, now: number): void
   isLimited(server: BackendServerId): boolean
-  /** Whether a limit that permits a request was not confirmed lately. */
+  /** Whether a limit that permits a request now has not been confirmed recently. */
   isProbeDue(server: BackendServerId, now: number): boolean
   countLimited(): number
-  /** Lists this router's own observations that the leader of a term has not acknowledged. */
+  /** Lists this router's observations that the leader of a term has not acknowledged. */
   listUnreported(term: number, now: number): ObservedLimits
   recordAcknowledged(observed: ObservedLimits): void
 }
 
-/** Lowest rate to a limited server, in requests a second: without any, nobody sees that the limit is gone. */
-const PROBE_RATE = 0.5
-/** Time without an answer after which a limited server should get a request, in ms. */
+/** Minimum rate to a limited server, in requests per second: without requests, nobody would see a withdrawn limit. */
+const MIN_RATE = 0.5
+/** Time without a response after which a limited server is probed, in ms. */
 const PROBE_AFTER_MS = 2_000
-/** Time for which unused rate is saved up, in ms. */
+/** Capacity of the token bucket, as time at the permitted rate, in ms. */
 const BURST_MS = 1_000
-/** Time after which an unchanged limit is reported again, in ms. */
+/** Interval at which an unchanged limit is reported again, in ms. */
 const REPORT_PERIOD_MS = 2_000
-/** Retry delay for a server of whose rate this router has no part, in ms. */
-const NO_PART_RETRY_MS = 1_000
-/** Incarnations that are remembered: several times those of a large fleet. */
+/** Retry delay for a server whose rate this router has no share of, in ms. */
+const NO_SHARE_RETRY_MS = 1_000
+/** Maximum number of server incarnations that are remembered: several times those of a large fleet. */
 const MAX_SERVERS = 5_000
 const MS_PER_S = 1_000
 
 interface LimitState {
-  /** Undefined for no limit. */
+  /** Undefined if there is no limit. */
   perSecond: number | undefined
-  /** When this was observed, here or at another router. */
+  /** When this was observed, by this or another router. */
   at: number
-  /** Whether an answer to this router showed it. */
+  /** Whether it was observed in a response to this router. */
   isOwn: boolean
-  /** What the leader acknowledged last. */
+  /** The report that the leader acknowledged last. */
   acknowledged:
     { readonly term: number; readonly report: LimitReport; readonly at: number } | undefined
-  /** Part of the rate that this router may use, 0 to 1. */
-  part: number
+  /** Fraction of the rate that this router may use, 0 to 1. */
+  share: number
   tokens: number
   filledAt: number
 }
 
 const OPEN: LimitVerdict = { kind: 'open' }
 
-function findRatePerMs({ perSecond = 0, part }: LimitState): number {
-  return (part * Math.max(PROBE_RATE, perSecond)) / MS_PER_S
+function findRatePerMs({ perSecond = 0, share }: LimitState): number {
+  return (share * Math.max(MIN_RATE, perSecond)) / MS_PER_S
 }
 
 function settleBucket(state: LimitState, now: number): void {
   const ratePerMs = findRatePerMs(state)
   const capacity = ratePerMs === 0 ? 0 : Math.max(1, ratePerMs * BURST_MS)
-  const passedMs = Math.max(0, now - state.filledAt)
-  state.tokens = Math.min(capacity, state.tokens + ratePerMs * passedMs)
+  const elapsedMs = Math.max(0, now - state.filledAt)
+  state.tokens = Math.min(capacity, state.tokens + ratePerMs * elapsedMs)
   state.filledAt = now
 }
 
-/** Whether a limit allows more than another; no limit allows the most. */
-function isLooser(a: number | undefined, b: number | undefined): boolean {
+/** Whether limit `a` allows more than limit `b`; undefined is unlimited. */
+function isHigherLimit(a: number | undefined, b: number | undefined): boolean {
   return (a ?? Infinity) > (b ?? Infinity)
 }
 
-/** Creates a record without limits. */
+/** Creates an empty set of server limits. */
 export function createServerLimits(): ServerLimits {
   const states = new LRUCache<BackendServerId, LimitState>({ max: MAX_SERVERS })
 
@@ -99,7 +100,7 @@
       at,
       isOwn: false,
       acknowledged: undefined,
-      part: 0,
+      share: 0,
       tokens: 0,
       filledAt: now,
     }
@@ -111,26 +112,26 @@
     if (state.perSecond === undefined) state.tokens = Math.min(0, state.tokens)
     state.perSecond = perSecond
   }
-  const applyNews = (news: AssignedLimit, askedAt: number, now: number) => {
-    const server = news.server as BackendServerId
-    const perSecond = news.perSecond ?? undefined
-    // Dated late, a limit is kept for longer; dated early, the end of one is no newer than it was.
-    const at = (perSecond === undefined ? askedAt : now) - news.ageMs
-    const known = states.get(server)
-    if (!known) return perSecond === undefined ? undefined : addState(server, perSecond, at, now)
-    const isNewer = at > known.at
-    if (known.perSecond === perSecond) {
-      known.at = Math.max(known.at, at)
-    } else if (isNewer || !known.isOwn) {
-      setLimit(known, perSecond, now)
-      Object.assign(known, { at, isOwn: false })
+  const applyAssignedLimit = (assigned: AssignedLimit, requestedAt: number, now: number) => {
+    const server = assigned.server as BackendServerId
+    const perSecond = assigned.perSecond ?? undefined
+    // The exact age is unknown: a limit gets the latest possible time and so stays longer, a withdrawal the earliest.
+    const at = (perSecond === undefined ? requestedAt : now) - assigned.ageMs
+    const existing = states.get(server)
+    if (!existing) return perSecond === undefined ? undefined : addState(server, perSecond, at, now)
+    const isNewer = at > existing.at
+    if (existing.perSecond === perSecond) {
+      existing.at = Math.max(existing.at, at)
+    } else if (isNewer || !existing.isOwn) {
+      setLimit(existing, perSecond, now)
+      Object.assign(existing, { at, isOwn: false })
     } else {
-      known.acknowledged = undefined
+      existing.acknowledged = undefined
     }
-    return known
+    return existing
   }
-  /** Own observations that the leader does not know are reported again; those of others are dropped. */
-  const reconcileUnlisted = (listed: ReadonlySet<string>) => {
+  /** Reports this router's observations that the leader does not list again, and removes those of other routers. */
+  const reconcileMissing = (listed: ReadonlySet<string>) => {
     for (const [server, state] of states) {
       if (listed.has(server)) continue
       if (state.isOwn && state.perSecond !== undefined) state.acknowledged = undefined
@@ -151,24 +152,24 @@
   }
   return {
     recordResponse: (server, { perSecond, sentAt }, now) => {
-      const known = states.get(server)
-      if (!known && perSecond === undefined) return false
-      const state = known ?? addState(server, perSecond ?? 0, now, now)
-      // Responses can arrive out of order: only a request sent after the newest one shows a looser limit.
-      if (isLooser(perSecond, state.perSecond) && sentAt < state.at) return false
-      const isChanged = !known || state.perSecond !== perSecond
+      const existing = states.get(server)
+      if (!existing && perSecond === undefined) return false
+      const state = existing ?? addState(server, perSecond ?? 0, now, now)
+      // Responses can arrive out of order: only a request sent after the newest one may raise a limit.
+      if (isHigherLimit(perSecond, state.perSecond) && sentAt < state.at) return false
+      const isChanged = !existing || state.perSecond !== perSecond
       if (isChanged) setLimit(state, perSecond, now)
       Object.assign(state, { at: now, isOwn: true })
       return isChanged
     },
-    applyUpdate: ({ servers, hasParts }, askedAt, now) => {
-      for (const news of servers) {
-        const state = applyNews(news, askedAt, now)
+    applyUpdate: ({ servers, hasParts }, requestedAt, now) => {
+      for (const assigned of servers) {
+        const state = applyAssignedLimit(assigned, requestedAt, now)
         if (!state || !hasParts) continue
         settleBucket(state, now)
-        state.part = news.part ?? 0
+        state.share = assigned.part ?? 0
       }
-      if (hasParts) reconcileUnlisted(new Set(servers.map(({ server }) => server)))
+      if (hasParts) reconcileMissing(new Set(servers.map(({ server }) => server)))
     },
     recordSend: (server, now) => {
       const state = states.get(server)
@@ -182,13 +183,13 @@
       settleBucket(state, now)
       if (state.tokens >= 1) return OPEN
       const ratePerMs = findRatePerMs(state)
-      const waitMs = ratePerMs === 0 ? NO_PART_RETRY_MS : (1 - state.tokens) / ratePerMs
+      const waitMs = ratePerMs === 0 ? NO_SHARE_RETRY_MS : (1 - state.tokens) / ratePerMs
       return { kind: 'limited', until: now + waitMs }
     },
     carryOver: (before, after, now) => {
       const state = states.get(before)
       if (!state || now - state.at > CARRY_OVER_MAX_AGE_MS || states.has(after)) return
-      states.set(after, { ...state, acknowledged: undefined, part: 0, tokens: 0 })
+      states.set(after, { ...state, acknowledged: undefined, share: 0, tokens: 0 })
     },
     isLimited: (server) => states.get(server)?.perSecond !== undefined,
     isProbeDue: (server, now) => {
--- a/packages/router/src/server/callerRoutes.ts
+++ b/packages/router/src/server/callerRoutes.ts
@@ -1,4 +1,4 @@
-/** The callers' interface: OpenAI-style generation, the list of models, and plain services. */
+/** HTTP routes for callers: OpenAI-compatible generation, the model list and plain services. */
 import type { Fleet, Team } from '@spoolgate/config'
 import {
   createCallerKeyring,
@@ -35,30 +35,30 @@
 export interface CallerRoutesOptions {
   readonly parts: RelayDependencies
   readonly limits: BodyLimits
-  /** Whether this router is being stopped, so that it begins nothing more. */
+  /** Whether this router is shutting down and must not start further requests. */
   readonly isStopping: () => boolean
 }
 
-/** Header that names the request, for `spoolgate explain`. */
+/** Response header with the request id, for `spoolgate explain`. */
 export const REQUEST_ID_HEADER = 'x-request-id'
-/** Seconds after which a caller that a stopping router refused may turn to another one. */
+/** Retry delay for callers that a router refuses while it shuts down, in seconds. */
 const RETRY_WHILE_STOPPING_S = 1
 const EMPTY_CHAIN: PrefixChain = { scope: '', levels: [], totalTokens: 0 }
 
-/** Creates the keyring of a configuration, once for each version. */
-function createKeyringSource() {
-  let fleetSeen: Fleet | undefined
+/** Creates a function that builds the keyring of a configuration once per version. */
+function createKeyringCache() {
+  let cachedFleet: Fleet | undefined
   let keyring: CallerKeyring<TeamId> = createCallerKeyring([])
   return (fleet: Fleet) => {
-    if (fleet !== fleetSeen) {
+    if (fleet !== cachedFleet) {
       keyring = createCallerKeyring(fleet.callerKeys.map((key) => ({ ...key, owner: key.team })))
-      fleetSeen = fleet
+      cachedFleet = fleet
     }
     return keyring
   }
 }
 
-/** What is known of a request before its body is understood. */
+/** A request of a known team, before its body is parsed. */
 interface AcceptedRequest {
   readonly exchange: HttpExchange
   readonly fleet: Fleet
@@ -66,12 +66,12 @@
   readonly startedAt: number
 }
 
-/** Creates the routes. */
+/** Creates the routes for callers. */
 export function createCallerRoutes(options: CallerRoutesOptions): Route[] {
   const { parts, limits, isStopping } = options
-  const findKeyring = createKeyringSource()
+  const findKeyring = createKeyringCache()
 
-  const accept = (exchange: HttpExchange): AcceptedRequest => {
+  const acceptRequest = (exchange: HttpExchange): AcceptedRequest => {
     const startedAt = parts.timers.now()
     const fleet = parts.config.current()
     if (!fleet) throw new SpoolgateError('controlUnavailable', 'no configuration yet; try later')
@@ -80,22 +80,22 @@
   }
   const createContext = (
     accepted: AcceptedRequest,
-    rest: Pick<
+    callFields: Pick<
       CallContext,
       'body' | 'path' | 'target' | 'chain' | 'weightsVersion' | 'session' | 'isStream' | 'tokens'
     >,
   ): CallContext => {
     const { exchange, team, startedAt } = accepted
     const { request, response } = exchange
-    const caller = new AbortController()
+    const callerAbort = new AbortController()
     response.once('close', () => {
-      if (!response.writableFinished) caller.abort()
+      if (!response.writableFinished) callerAbort.abort()
     })
     const deadlineMs = readDeadline(request)
     const id = toRequestId(createUniqueId('req'))
     response.setHeader(REQUEST_ID_HEADER, id)
     return {
-      ...rest,
+      ...callFields,
       request: id,
       team: team.id,
       parameters: team.parameters,
@@ -105,28 +105,31 @@
       deadline: deadlineMs === undefined ? undefined : startedAt + deadlineMs,
       startedAt,
       response,
-      callerSignal: caller.signal,
+      callerSignal: callerAbort.signal,
     }
   }
-  const relay = async (context: CallContext, exchange: HttpExchange, isOnce: boolean) => {
-    const given = isOnce ? readIdempotencyKey(exchange.request) : undefined
+  const relay = async (context: CallContext, exchange: HttpExchange, isAtMostOnce: boolean) => {
+    const callerKey = isAtMostOnce ? readIdempotencyKey(exchange.request) : undefined
     const release = await parts.limits.admit(context.team, context.parameters, context.tokens)
     try {
-      // A caller's deadline bounds only the first token here, so that nothing says of a request
-      // that it is over before the stop cuts it off.
+      // The caller's deadline only bounds the first token, so it cannot tell whether a request would end before the
+      // shutdown cuts it off.
       if (isStopping()) {
         throw new SpoolgateError(
           'instanceStopping',
           'this instance stops; send it to another one',
           {
             retryAfterSeconds: RETRY_WHILE_STOPPING_S,
-            // An earlier send with the caller's key may have run.
-            notRun: given === undefined,
+            // An earlier request with the caller's idempotency key may have run.
+            notRun: callerKey === undefined,
           },
         )
       }
-      if (!isOnce) return await relayRepeatable(parts, context)
-      const key = { key: given ?? createUniqueId('auto'), isFromCaller: given !== undefined }
+      if (!isAtMostOnce) return await relayRepeatable(parts, context)
+      const key = {
+        key: callerKey ?? createUniqueId('auto'),
+        isFromCaller: callerKey !== undefined,
+      }
       return await relayOnce(parts, context, key)
     } finally {
       release()
@@ -134,7 +137,7 @@
   }
 
   const serveGeneration = async (exchange: HttpExchange) => {
-    const accepted = accept(exchange)
+    const accepted = acceptRequest(exchange)
     const { fleet, team } = accepted
     const body = await readBody(exchange.request, limits)
     const generation = parseGenerationRequest(body, fleet, team)
@@ -152,7 +155,7 @@
     await relay(context, exchange, isUnrepeatable(exchange.request, undefined, exchange.path))
   }
   const serveModels = (exchange: HttpExchange) => {
-    const { fleet } = accept(exchange)
+    const { fleet } = acceptRequest(exchange)
     const data = [...fleet.models.values()].map(({ id }) => ({
       id,
       object: 'model',
@@ -162,7 +165,7 @@
     sendJson(exchange.response, 200, { object: 'list', data })
   }
   const serveService = async (exchange: HttpExchange) => {
-    const accepted = accept(exchange)
+    const accepted = acceptRequest(exchange)
     const service = findService(exchange.path, accepted.fleet)
     if (!service) {
       throw new SpoolgateError('unknownPath', `nothing answers ${exchange.path}; see the docs`)
