--- a/packages/control/src/__tests__/appliedLog.spec.ts
+++ b/packages/control/src/__tests__/appliedLog.spec.ts
@@ -5,7 +5,7 @@
 import { createMembership, type Membership, type SavedState } from '../raft/membership.js'
 import type { MemberMap } from '../raft/messages.js'
 import { createProposals } from '../raft/proposals.js'
-import { createControlMachine } from '../state/controlMachine.js'
+import { createControlStateMachine } from '../state/controlMachine.js'
 import { createMemoryFolder } from './memoryFolder.js'
 
 const SNAPSHOT_EVERY = 4
@@ -38,7 +38,7 @@
     membership = createMembership({ name: 'a', store, founders })
     applied = createAppliedLog({
       store,
-      machine: createControlMachine(),
+      machine: createControlStateMachine(),
       membership,
       proposals: createProposals(),
       logger: createLogger({ write: (line) => line.includes('raft.compacted') && written() }),
--- a/packages/control/src/__tests__/cacheWatch.spec.ts
+++ b/packages/control/src/__tests__/cacheWatch.spec.ts
@@ -16,7 +16,7 @@
 import type { CachedPlacement } from '../registry/feed.js'
 import { createCacheDirectory, type CacheEntry } from '../registry/cacheDirectory.js'
 import type { RaftMember } from '../raft/types.js'
-import { createControlMachine, type ControlMachine } from '../state/controlMachine.js'
+import { createControlStateMachine, type ControlStateMachine } from '../state/controlMachine.js'
 import { buildServerIdentity } from '../state/serverState.js'
 
 const ENGINE = { kind: 'engine', id: 'e1', address: 'a:1' } as const
@@ -115,7 +115,7 @@
 
   function createWatch(parts: {
     calls: CacheClient
-    machine: ControlMachine
+    machine: ControlStateMachine
     timers: TimerService
     reported: CachedPlacement[]
     elected?: Observable<number>
@@ -137,7 +137,7 @@
     list: (call: number) => CacheEntry[],
   ) {
     const timers = createManualTimerService()
-    const machine = createControlMachine()
+    const machine = createControlStateMachine()
     machine.apply({ kind: 'server.observe', server }, 1)
     const reported: CachedPlacement[] = []
     const askedAfter: number[] = []
@@ -205,7 +205,7 @@
   /** Watches a number of engines whose snapshots resolve when they are released. */
   function watchEngines(count: number) {
     const timers = createManualTimerService()
-    const machine = createControlMachine()
+    const machine = createControlStateMachine()
     for (let index = 0; index < count; index += 1) {
       const identity = buildServerIdentity(toServerName(`e${index}`), undefined)
       const engine = { ...server, ...identity, address: `e:${index}` }
@@ -250,7 +250,7 @@
     /** Watches one engine whose first snapshot resolves when `release` is called. */
     function watchSlowEngine() {
       const timers = createManualTimerService()
-      const machine = createControlMachine()
+      const machine = createControlStateMachine()
       const reported: CachedPlacement[] = []
       let release: (list: CacheSnapshot) => void = () => {}
       const calls: CacheClient = {
--- a/packages/control/src/__tests__/electionReport.spec.ts
+++ b/packages/control/src/__tests__/electionReport.spec.ts
@@ -1,6 +1,9 @@
 import { createLogger, createManualTimerService, createMetrics } from '@spoolgate/core'
 import { expect } from 'chai'
-import { BEARS_FEWER_AFTER_MS, createBearingReport } from '../group/bearingReport.js'
+import {
+  LOW_TOLERANCE_WARNING_DELAY_MS,
+  createFaultToleranceReport,
+} from '../group/faultToleranceReport.js'
 import { createElectionReport } from '../raft/electionReport.js'
 import type { MemberMap } from '../raft/messages.js'
 import { createTestGroup, ELECTION_MS, type TestGroup } from './group.js'
@@ -136,15 +139,15 @@
     const lines: string[] = []
     const timers = createManualTimerService()
     const logger = createLogger({ write: (line) => void lines.push(line) })
-    const report = createBearingReport({ wantedVoters: 5, timers, logger })
+    const report = createFaultToleranceReport({ targetVoters: 5, timers, logger })
     const hold = (voters: number) => {
       for (let looks = 0; looks < 100; looks += 1) {
         report.recordGroup(buildVoters(voters))
-        timers.advance(BEARS_FEWER_AFTER_MS / 50)
+        timers.advance(LOW_TOLERANCE_WARNING_DELAY_MS / 50)
       }
     }
     report.recordGroup(buildVoters(3))
-    timers.advance(BEARS_FEWER_AFTER_MS)
+    timers.advance(LOW_TOLERANCE_WARNING_DELAY_MS)
     hold(5)
     expect(lines).to.have.length(0)
     hold(4)
--- a/packages/control/src/__tests__/feedSimulation.ts
+++ b/packages/control/src/__tests__/feedSimulation.ts
@@ -26,7 +26,7 @@
 import { createTableHistory } from '../table/tableHistory.js'
 import { createCacheDirectory } from '../registry/cacheDirectory.js'
 import type { RaftMember } from '../raft/types.js'
-import { createControlMachine } from '../state/controlMachine.js'
+import { createControlStateMachine } from '../state/controlMachine.js'
 import { buildServerIdentity } from '../state/serverState.js'
 import { createUnlimitedQuotaBuckets, NO_LIMITS, NO_QUOTAS } from './routerRecordStubs.js'
 
@@ -150,7 +150,7 @@
 }
 
 function createMachine(engines: number) {
-  const machine = createControlMachine()
+  const machine = createControlStateMachine()
   machine.apply({ kind: 'table.put', version: 7, document: buildDocument(7, ROUTES) }, 1)
   for (let index = 0; index < engines; index += 1) {
     const server = {
--- a/packages/control/src/__tests__/feedSource.spec.ts
+++ b/packages/control/src/__tests__/feedSource.spec.ts
@@ -7,7 +7,7 @@
 import type { FeedRequest } from '../registry/feed.js'
 import { createFeedSource } from '../registry/feedSource.js'
 import type { RaftMember } from '../raft/types.js'
-import { createControlMachine } from '../state/controlMachine.js'
+import { createControlStateMachine } from '../state/controlMachine.js'
 import { createUnlimitedQuotaBuckets } from './routerRecordStubs.js'
 
 const TERM = 3
@@ -27,7 +27,7 @@
     isCurrent: () => true,
     checkCurrent: () => {},
   } as unknown as RaftMember
-  const machine = createControlMachine()
+  const machine = createControlStateMachine()
   const timers = createManualTimerService()
   const { quarantine } = machine
   const source = createFeedSource({
--- a/packages/control/src/__tests__/group.ts
+++ b/packages/control/src/__tests__/group.ts
@@ -11,7 +11,7 @@
 import { createRaftMember } from '../raft/member.js'
 import type { RaftMember } from '../raft/types.js'
 import type { MemberMap, RaftTransport, VoteRequest } from '../raft/messages.js'
-import { createControlMachine, type ControlMachine } from '../state/controlMachine.js'
+import { createControlStateMachine, type ControlStateMachine } from '../state/controlMachine.js'
 import { createMemoryFolder, type MemoryFolder } from './memoryFolder.js'
 
 /** One member with its disk. */
@@ -20,7 +20,7 @@
   /** Where it is reached; links are cut between addresses. */
   readonly url: string
   member: RaftMember
-  machine: ControlMachine
+  machine: ControlStateMachine
   folder: MemoryFolder
   /** Whether its clock moves; a frozen process neither sends nor answers. */
   timers: ManualTimerService
@@ -122,7 +122,7 @@
     const folder = options.folder ?? createMemoryFolder()
     const timers = createManualTimerService()
     const store = await openLogStore({ folder, logger, onFailure: () => {} })
-    const machine = createControlMachine()
+    const machine = createControlStateMachine()
     const url = options.url ?? name
     const member = createRaftMember({
       name,
--- a/packages/control/src/__tests__/groupModel.ts
+++ b/packages/control/src/__tests__/groupModel.ts
@@ -347,7 +347,7 @@
   const voters = Math.min(founders, wantedVoters)
   const names = Array.from({ length: founders }, (_, index) => `m${index}`)
   const group = await createTestGroup(names, seed, 8 + random.nextInt(40))
-  const steps = createGroupSteps({ group, wantedVoters })
+  const steps = createGroupSteps({ group, targetVoters: wantedVoters })
   const borne = Math.min(losses, Math.floor(voters / 2))
   const borneAway = Math.min(losses, Math.floor((voters - 1) / 2))
   const life = new Life(seed, random, group, steps, borne, borneAway)
--- a/packages/control/src/__tests__/groupPlan.spec.ts
+++ b/packages/control/src/__tests__/groupPlan.spec.ts
@@ -1,17 +1,17 @@
 import { expect } from 'chai'
 import {
-  findGroupStep,
-  FORGET_AFTER_MS,
+  findMembershipStep,
+  REMOVE_LEARNER_AFTER_MS,
   REPLACE_AFTER_MS,
   SHRINK_AFTER_MS,
-  type GroupPlanInput,
-  type MemberView,
+  type MembershipPlanInput,
+  type MemberHealth,
 } from '../group/groupPlan.js'
 import type { MemberMap } from '../raft/messages.js'
 
-const WELL: MemberView = { silentMs: 0, isCaughtUp: true }
-const AWAY: MemberView = { silentMs: SHRINK_AFTER_MS + 1, isCaughtUp: true }
-const SILENT: MemberView = { silentMs: REPLACE_AFTER_MS + 1, isCaughtUp: true }
+const WELL: MemberHealth = { silentMs: 0, isCaughtUp: true }
+const AWAY: MemberHealth = { silentMs: SHRINK_AFTER_MS + 1, isCaughtUp: true }
+const SILENT: MemberHealth = { silentMs: REPLACE_AFTER_MS + 1, isCaughtUp: true }
 
 function buildMembers(kinds: Record<string, 'voter' | 'learner'>): MemberMap {
   return Object.fromEntries(
@@ -21,15 +21,15 @@
 
 function buildInput(
   kinds: Record<string, 'voter' | 'learner'>,
-  views: Record<string, MemberView> = {},
-  change: Partial<GroupPlanInput> = {},
-): GroupPlanInput {
+  views: Record<string, MemberHealth> = {},
+  change: Partial<MembershipPlanInput> = {},
+): MembershipPlanInput {
   return {
     leader: 'a',
     members: buildMembers(kinds),
-    joiners: [],
-    wantedVoters: 3,
-    findView: (name) => views[name] ?? WELL,
+    joinRequests: [],
+    targetVoters: 3,
+    findHealth: (name) => views[name] ?? WELL,
     ...change,
   }
 }
@@ -38,75 +38,87 @@
   const whole = { a: 'voter', b: 'voter', c: 'voter' } as const
 
   it('leaves a whole group alone, with a learner to spare', () => {
-    expect(findGroupStep(buildInput({ ...whole, d: 'learner' }))).to.equal(undefined)
+    expect(findMembershipStep(buildInput({ ...whole, d: 'learner' }))).to.equal(undefined)
   })
 
   it('takes in whoever asks, as a learner', () => {
-    const step = findGroupStep(buildInput(whole, {}, { joiners: [{ name: 'd', url: 'http://d' }] }))
+    const step = findMembershipStep(
+      buildInput(whole, {}, { joinRequests: [{ name: 'd', url: 'http://d' }] }),
+    )
     expect(step?.members.d).to.deep.equal({ url: 'http://d', kind: 'learner' })
   })
 
   it('makes a learner a voter only once it has caught up', () => {
     const kinds = { a: 'voter', b: 'voter', d: 'learner' } as const
     const behind = { d: { silentMs: 0, isCaughtUp: false } }
-    expect(findGroupStep(buildInput(kinds, behind))).to.equal(undefined)
-    expect(findGroupStep(buildInput(kinds))?.members.d.kind).to.equal('voter')
+    expect(findMembershipStep(buildInput(kinds, behind))).to.equal(undefined)
+    expect(findMembershipStep(buildInput(kinds))?.members.d.kind).to.equal('voter')
   })
 
   it('replaces a silent voter by a learner, one step at a time', () => {
     const views = { c: SILENT }
-    const first = findGroupStep(buildInput({ ...whole, d: 'learner' }, views))
+    const first = findMembershipStep(buildInput({ ...whole, d: 'learner' }, views))
     expect(first?.members.d.kind).to.equal('voter')
     expect(first?.members.c.kind).to.equal('voter')
-    const second = findGroupStep(buildInput({ ...whole, d: 'voter' }, views))
+    const second = findMembershipStep(buildInput({ ...whole, d: 'voter' }, views))
     expect(second?.members.c.kind).to.equal('learner')
   })
 
   it('keeps a silent voter when there is nobody to take its place', () => {
-    expect(findGroupStep(buildInput(whole, { c: SILENT }))).to.equal(undefined)
+    expect(findMembershipStep(buildInput(whole, { c: SILENT }))).to.equal(undefined)
   })
 
   it('takes a silent voter out of an odd group, whose majority stays the same without it', () => {
     const kinds = { ...whole, d: 'voter', e: 'voter' } as const
-    const five = findGroupStep(buildInput(kinds, { e: AWAY }, { wantedVoters: 5 }))
+    const five = findMembershipStep(buildInput(kinds, { e: AWAY }, { targetVoters: 5 }))
     expect(five?.members.e.kind).to.equal('learner')
     const seven = { ...kinds, f: 'voter', g: 'voter' } as const
     // One that may only restart or be cut off stays a voter.
-    expect(findGroupStep(buildInput(kinds, { e: SILENT }, { wantedVoters: 5 }))).to.equal(undefined)
-    const six = findGroupStep(buildInput(seven, { c: AWAY }, { wantedVoters: 7 }))
+    expect(findMembershipStep(buildInput(kinds, { e: SILENT }, { targetVoters: 5 }))).to.equal(
+      undefined,
+    )
+    const six = findMembershipStep(buildInput(seven, { c: AWAY }, { targetVoters: 7 }))
     expect(six?.members.c.kind).to.equal('learner')
   })
 
   it('keeps a silent voter where fewer copies would be held without it', () => {
     const four = { ...whole, d: 'voter' } as const
-    expect(findGroupStep(buildInput(four, { d: AWAY }, { wantedVoters: 5 }))).to.equal(undefined)
+    expect(findMembershipStep(buildInput(four, { d: AWAY }, { targetVoters: 5 }))).to.equal(
+      undefined,
+    )
     const two = { a: 'voter', b: 'voter' } as const
-    expect(findGroupStep(buildInput(two, { b: AWAY }, { wantedVoters: 5 }))).to.equal(undefined)
-    expect(findGroupStep(buildInput(whole, { c: AWAY }, { wantedVoters: 5 }))).to.equal(undefined)
+    expect(findMembershipStep(buildInput(two, { b: AWAY }, { targetVoters: 5 }))).to.equal(
+      undefined,
+    )
+    expect(findMembershipStep(buildInput(whole, { c: AWAY }, { targetVoters: 5 }))).to.equal(
+      undefined,
+    )
   })
 
   it('takes silent voters out one at a time, and makes them voters again when they are back', () => {
     const five = { ...whole, d: 'voter', e: 'voter' } as const
-    const input = { wantedVoters: 5 }
-    const step = findGroupStep(buildInput(five, { d: AWAY, e: AWAY }, input))
+    const input = { targetVoters: 5 }
+    const step = findMembershipStep(buildInput(five, { d: AWAY, e: AWAY }, input))
     const kinds = Object.values(step?.members ?? {}).map(({ kind }) => kind)
     expect(kinds.filter((kind) => kind === 'voter')).to.have.length(4)
     const four = { ...five, e: 'learner' } as const
-    expect(findGroupStep(buildInput(four, { d: AWAY, e: AWAY }, input))).to.equal(undefined)
-    expect(findGroupStep(buildInput(four, {}, input))?.members.e.kind).to.equal('voter')
+    expect(findMembershipStep(buildInput(four, { d: AWAY, e: AWAY }, input))).to.equal(undefined)
+    expect(findMembershipStep(buildInput(four, {}, input))?.members.e.kind).to.equal('voter')
   })
 
   it('removes a voter whose address came back with an empty disk', () => {
     const joiners = [{ name: 'c#new', url: 'http://c' }]
-    const first = findGroupStep(buildInput(whole, {}, { joiners }))
+    const first = findMembershipStep(buildInput(whole, {}, { joinRequests: joiners }))
     expect(first?.members).to.not.have.property('c')
-    const second = findGroupStep(buildInput({ a: 'voter', b: 'voter' }, {}, { joiners }))
+    const second = findMembershipStep(
+      buildInput({ a: 'voter', b: 'voter' }, {}, { joinRequests: joiners }),
+    )
     expect(second?.members['c#new'].kind).to.equal('learner')
   })
 
   it('forgets a learner that is gone, and never its own leader', () => {
-    const gone = { silentMs: FORGET_AFTER_MS + 1, isCaughtUp: false }
-    const step = findGroupStep(buildInput({ ...whole, d: 'learner' }, { d: gone, a: gone }))
+    const gone = { silentMs: REMOVE_LEARNER_AFTER_MS + 1, isCaughtUp: false }
+    const step = findMembershipStep(buildInput({ ...whole, d: 'learner' }, { d: gone, a: gone }))
     expect(step?.members).to.have.all.keys('a', 'b', 'c')
   })
 })
--- a/packages/control/src/__tests__/groupSteps.ts
+++ b/packages/control/src/__tests__/groupSteps.ts
@@ -1,12 +1,12 @@
 /** Drives a group in memory by the plan that the leader's keeper follows. */
-import { findGroupStep, type GroupPlanInput } from '../group/groupPlan.js'
+import { findMembershipStep, type MembershipPlanInput } from '../group/groupPlan.js'
 import type { TestGroup, TestMember } from './group.js'
 
 /** Options of {@link createGroupSteps}. */
 export interface GroupStepsOptions {
   readonly group: TestGroup
   /** Voters that the group should have. */
-  readonly wantedVoters: number
+  readonly targetVoters: number
 }
 
 /** See {@link createGroupSteps}. */
@@ -23,10 +23,10 @@
 
 /** Creates the driver; instances that run and are no members ask to be taken in. */
 export function createGroupSteps(options: GroupStepsOptions): GroupSteps {
-  const { group, wantedVoters } = options
+  const { group, targetVoters: wantedVoters } = options
   const led = new Map<string, { readonly term: number; readonly since: number }>()
 
-  const buildInput = (leader: TestMember, since: number): GroupPlanInput => {
+  const buildInput = (leader: TestMember, since: number): MembershipPlanInput => {
     const { members, commitIndex } = leader.member.status()
     const joiners = [...group.members.values()]
       .filter((other) => !(other.name in members) && isLinked(group, leader, other))
@@ -34,9 +34,9 @@
     return {
       leader: leader.name,
       members,
-      joiners,
-      wantedVoters,
-      findView: (name) => {
+      joinRequests: joiners,
+      targetVoters: wantedVoters,
+      findHealth: (name) => {
         if (name === leader.name) return { silentMs: 0, isCaughtUp: true }
         const found = leader.member.listFollowers().find((follower) => follower.name === name)
         const receivedAt = Math.max(found?.confirmedAt ?? -Infinity, since)
@@ -53,7 +53,7 @@
       const known = led.get(leader.name)
       const since = known?.term === term ? known.since : leader.timers.now()
       led.set(leader.name, { term, since })
-      const step = findGroupStep(buildInput(leader, since))
+      const step = findMembershipStep(buildInput(leader, since))
       // Refused while another change is in progress, and not known when leadership is lost.
       if (step) leader.member.changeMembers(step.members).catch(() => {})
     },
--- a/packages/control/src/__tests__/lateHeartbeat.spec.ts
+++ b/packages/control/src/__tests__/lateHeartbeat.spec.ts
@@ -8,7 +8,7 @@
 import { expect } from 'chai'
 import { createFleetOperationRunner } from '../registry/fleetOperations.js'
 import type { RaftMember } from '../raft/types.js'
-import { createControlMachine } from '../state/controlMachine.js'
+import { createControlStateMachine } from '../state/controlMachine.js'
 import { buildServerIdentity, type RegisteredServer } from '../state/serverState.js'
 
 const SILENT_AFTER_MS = 2_600
@@ -16,7 +16,7 @@
 /** Creates a leader that receives heartbeats, and counts its proposals to the replicated log. */
 function createLeader() {
   const timers = createManualTimerService()
-  const machine = createControlMachine()
+  const machine = createControlStateMachine()
   let proposals = 0
   const member = {
     status: () => ({ role: 'leader', term: 1 }),
--- a/packages/control/src/__tests__/lossesBorne.spec.ts
+++ b/packages/control/src/__tests__/lossesBorne.spec.ts
@@ -96,7 +96,7 @@
       ['b', 'c'],
     ].entries()) {
       const group = await createTestGroup(first, seed + 1)
-      const steps = createGroupSteps({ group, wantedVoters: 5 })
+      const steps = createGroupSteps({ group, targetVoters: 5 })
       const runSteps = async (duration: number) => {
         for (let spent = 0; spent < duration; spent += ELECTION_MS) {
           steps.apply()
@@ -126,7 +126,7 @@
     const urls = NAMES.slice(0, 4)
     for (const seed of [1, 2, 3]) {
       const group = await createTestGroup(urls, seed)
-      const steps = createGroupSteps({ group, wantedVoters: 5 })
+      const steps = createGroupSteps({ group, targetVoters: 5 })
       const names = new Map(urls.map((url) => [url, url]))
       await group.propose(await group.findLeader(), buildTable(7))
       // Each disk is lost in its turn, and again: whoever holds the entry got it by a repair.
--- a/packages/control/src/__tests__/lostDisks.spec.ts
+++ b/packages/control/src/__tests__/lostDisks.spec.ts
@@ -27,7 +27,7 @@
 import type { RaftMember } from '../raft/types.js'
 import { createRaftRoute } from '../server/groupRoutes.js'
 import { createHttpTransport } from '../server/raftTransport.js'
-import { createControlMachine } from '../state/controlMachine.js'
+import { createControlStateMachine } from '../state/controlMachine.js'
 import { createTestGroup, ELECTION_MS } from './group.js'
 import { createMemoryFolder, type MemoryFolder } from './memoryFolder.js'
 
@@ -136,7 +136,7 @@
       founders,
       isFounding,
       store: await openLogStore({ folder, logger, onFailure: () => {} }),
-      machine: createControlMachine(),
+      machine: createControlStateMachine(),
       transport: createHttpTransport({ client, timeoutMs: ROUTE_ELECTION_MS }),
       timers,
       random: createRandomSource(places.indexOf(place) + 1),
--- a/packages/control/src/__tests__/quarantineCoordinator.spec.ts
+++ b/packages/control/src/__tests__/quarantineCoordinator.spec.ts
@@ -10,7 +10,7 @@
 import { createCrashReportBuffer } from '../quarantine/crashReportBuffer.js'
 import { createQuarantineCoordinator } from '../quarantine/quarantineCoordinator.js'
 import { findQuarantineMs, type CrashReport } from '../quarantine/crashReport.js'
-import { createControlMachine } from '../state/controlMachine.js'
+import { createControlStateMachine } from '../state/controlMachine.js'
 import { createQuarantineState } from '../state/quarantineState.js'
 
 const REQUEST = toRequestFingerprint('caller.request')
@@ -30,7 +30,7 @@
 /** Creates a leader whose log entries are applied immediately, or fail while `isLost` is set. */
 function createLeader() {
   const timers = createManualTimerService()
-  const machine = createControlMachine()
+  const machine = createControlStateMachine()
   const commands: unknown[] = []
   const state = { term: 1, isLost: false }
   const member = {
--- a/packages/control/src/__tests__/raft.spec.ts
+++ b/packages/control/src/__tests__/raft.spec.ts
@@ -6,8 +6,8 @@
   toTeamId,
 } from '@spoolgate/core'
 import { expect } from 'chai'
-import type { OpenResult } from '../state/claimState.js'
-import type { SubmitResult } from '../state/configState.js'
+import type { OpenClaimResult } from '../state/claimState.js'
+import type { SubmitConfigResult } from '../state/configState.js'
 import { createTestGroup, ELECTION_MS, type TestGroup, type TestMember } from './group.js'
 
 const NAMES = ['a', 'b', 'c']
@@ -36,7 +36,7 @@
   it('elects one leader, and every member applies what it accepts', async () => {
     group = await createTestGroup(NAMES)
     const leader = await findLeader()
-    const result = (await propose(leader, buildClaim('k', 'r'))) as OpenResult
+    const result = (await propose(leader, buildClaim('k', 'r'))) as OpenClaimResult
     expect(result.kind).to.equal('granted')
     await group.runUntil(
       () => [...group.members.values()].every(({ machine }) => machine.claims.size() === 1),
@@ -57,7 +57,9 @@
     expect(overlap).to.equal(1)
     expect(() => old.member.checkCurrent()).to.throw()
     const next = group.leader() as TestMember
-    expect(((await propose(next, buildClaim('k', 'r1'))) as OpenResult).kind).to.equal('granted')
+    expect(((await propose(next, buildClaim('k', 'r1'))) as OpenClaimResult).kind).to.equal(
+      'granted',
+    )
 
     const lost = old.member.propose(buildClaim('k', 'r2')).then(
       () => 'granted',
@@ -75,7 +77,9 @@
     const old = await findLeader()
     for (const name of NAMES) if (name !== old.name) group.cut.add(`${name}>${old.name}`)
     const next = await findLeader(old.name)
-    expect(((await propose(next, buildClaim('k', 'r'))) as OpenResult).kind).to.equal('granted')
+    expect(((await propose(next, buildClaim('k', 'r'))) as OpenClaimResult).kind).to.equal(
+      'granted',
+    )
   })
 
   it('a paused leader finds its lease over when it wakes', async () => {
@@ -165,7 +169,10 @@
     // A second loss right after the repair.
     const second = NAMES.find((name) => name !== lost && name !== leader.name) as string
     group.isolate(second)
-    const result = (await propose(group.leader() ?? leader, buildClaim('k2', 'r2'))) as OpenResult
+    const result = (await propose(
+      group.leader() ?? leader,
+      buildClaim('k2', 'r2'),
+    )) as OpenClaimResult
     expect(result.kind).to.equal('granted')
   })
 
@@ -184,17 +191,17 @@
     group = await createTestGroup(NAMES, 5)
     const random = createRandomSource(7)
     const accepted = new Map<string, number>()
-    const submitUntilKnown = async (command: unknown): Promise<SubmitResult> => {
+    const submitUntilKnown = async (command: unknown): Promise<SubmitConfigResult> => {
       for (;;) {
         const target = group.leader() ?? (await findLeader())
         try {
-          return (await propose(target, command)) as SubmitResult
+          return (await propose(target, command)) as SubmitConfigResult
         } catch {
           group.heal()
         }
       }
     }
-    const recordResult = (changeId: string, result: SubmitResult) => {
+    const recordResult = (changeId: string, result: SubmitConfigResult) => {
       if (result.kind !== 'accepted') return
       expect(accepted.get(changeId) ?? result.version).to.equal(result.version)
       accepted.set(changeId, result.version)
--- a/packages/control/src/__tests__/registryState.spec.ts
+++ b/packages/control/src/__tests__/registryState.spec.ts
@@ -88,8 +88,8 @@
 describe('wanted weights versions', () => {
   it('only increase', () => {
     const weights = createWeightsState()
-    weights.name({ kind: 'weights.name', model: 'm', version: 5 })
-    const result = weights.name({ kind: 'weights.name', model: 'm', version: 2 })
+    weights.raiseVersion({ kind: 'weights.name', model: 'm', version: 5 })
+    const result = weights.raiseVersion({ kind: 'weights.name', model: 'm', version: 2 })
     expect(result.version).to.equal(5)
     expect(weights.list()).to.deep.equal({ m: 5 })
   })
--- a/packages/control/src/__tests__/state.spec.ts
+++ b/packages/control/src/__tests__/state.spec.ts
@@ -4,14 +4,19 @@
 import fc from 'fast-check'
 import { createClaimState, type OpenClaim } from '../state/claimState.js'
 import { createConfigState } from '../state/configState.js'
-import { applyPatch, compareFleets, hashFleet, toNormalForm } from '../state/fleetPatch.js'
-import { createOrderState, MAX_LOADS } from '../state/orderState.js'
+import {
+  applyFleetPatch,
+  buildFleetPatch,
+  hashFleet,
+  toCanonicalForm,
+} from '../state/fleetPatch.js'
+import { createOrderState, MAX_CONCURRENT_WEIGHT_LOADS } from '../state/orderState.js'
 
 const itemIds = fc.uniqueArray(fc.constantFrom('a', 'b', 'c', 'd', 'e'), { maxLength: 5 })
 const fleets: fc.Arbitrary<FleetConfigInput> = fc
   .record({ teams: itemIds, models: itemIds, weights: fc.constantFrom('1', '2') })
   .map(({ teams, models, weights }) =>
-    toNormalForm({
+    toCanonicalForm({
       teams: teams.map((id) => ({ id, parameters: { share: Number(weights) } })),
       models: models.map((id) => ({ id, weightsVersion: weights })),
     }),
@@ -21,7 +26,7 @@
   it('turn any configuration into any other', () => {
     fc.assert(
       fc.property(fleets, fleets, (before, after) => {
-        const patched = applyPatch(before, compareFleets(before, after))
+        const patched = applyFleetPatch(before, buildFleetPatch(before, after))
         expect(hashFleet(patched)).to.equal(hashFleet(after))
       }),
       { seed: 11 },
@@ -125,7 +130,7 @@
 
   it('lets only a few backend servers load weights at once', () => {
     const orders = createOrderState()
-    for (let index = 0; index < MAX_LOADS; index += 1) {
+    for (let index = 0; index < MAX_CONCURRENT_WEIGHT_LOADS; index += 1) {
       expect(orders.issue(issue(`s${index}`), index + 1).kind).to.equal('issued')
     }
     expect(orders.issue(issue('late'), 9).kind).to.equal('noSlot')
@@ -137,6 +142,6 @@
       at: 0,
     })
     expect(orders.issue(issue('late'), 10).kind).to.equal('issued')
-    expect(orders.findHighest(toBackendServerId('late'))).to.equal(10)
+    expect(orders.findHighestFencing(toBackendServerId('late'))).to.equal(10)
   })
 })
--- a/packages/control/src/__tests__/tableFetcher.spec.ts
+++ b/packages/control/src/__tests__/tableFetcher.spec.ts
@@ -8,10 +8,10 @@
 import { expect } from 'chai'
 import { createTableFetcher } from '../registry/tableFetcher.js'
 import type { TableRequest } from '../registry/tableSource.js'
-import { applyTableUpdate, buildTableUpdate, type HeldTable } from '../table/tableUpdate.js'
+import { applyTableUpdate, buildTableUpdate, type VersionedTable } from '../table/tableUpdate.js'
 
 const STEP_MS = 5
-const buildTable = (version: number): HeldTable => ({
+const buildTable = (version: number): VersionedTable => ({
   version,
   document: `{"v":${version}}${'{"same":1}'.repeat(50)}`,
 })
@@ -19,7 +19,7 @@
 /** A router that fetches tables from instances that reply with the result of `answer`. */
 function createRouter(
   answer: (request: TableRequest, url: string) => unknown,
-  first: HeldTable | undefined,
+  first: VersionedTable | undefined,
 ) {
   const timers = createManualTimerService()
   const stopping = new AbortController()
@@ -56,7 +56,7 @@
     asked,
     lines,
     held: () => held,
-    put: (next: HeldTable) => (held = next),
+    put: (next: VersionedTable) => (held = next),
   }
 }
 
--- a/packages/control/src/__tests__/tableUpdate.spec.ts
+++ b/packages/control/src/__tests__/tableUpdate.spec.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check'
 import { Subject } from 'rxjs'
 import { createTableHistory } from '../table/tableHistory.js'
-import { applyTableUpdate, buildTableUpdate, type HeldTable } from '../table/tableUpdate.js'
+import { applyTableUpdate, buildTableUpdate, type VersionedTable } from '../table/tableUpdate.js'
 import { applyTextPatch, buildTextPatch } from '../table/textPatch.js'
 import { buildDocument } from './feedSimulation.js'
 
@@ -27,7 +27,7 @@
 })
 
 describe('an update of the table', () => {
-  const table = (version: number, document: string): HeldTable => ({ version, document })
+  const table = (version: number, document: string): VersionedTable => ({ version, document })
 
   it('costs what it changes', () => {
     const document = buildDocument(7, 5_000)
@@ -61,7 +61,7 @@
 describe('the history of the table at an instance', () => {
   const createHistory = () => {
     const changes = new Subject<void>()
-    let current: HeldTable | undefined
+    let current: VersionedTable | undefined
     const history = createTableHistory({ current: () => current, changes })
     const put = (version: number) => {
       current = { version, document: `{"v":${version}}${'{"same":1}'.repeat(50)}` }
--- a/packages/control/src/__tests__/tableWriter.spec.ts
+++ b/packages/control/src/__tests__/tableWriter.spec.ts
@@ -1,7 +1,7 @@
 import { createLogger, SpoolgateError } from '@spoolgate/core'
 import { expect } from 'chai'
 import { createTableWriter } from '../registry/tableWriter.js'
-import { createTableState, type PutTable, type PutUpdate } from '../state/tableState.js'
+import { createTableState, type PutTable, type PutTableUpdate } from '../state/tableState.js'
 import { buildTableUpdate } from '../table/tableUpdate.js'
 
 const logger = createLogger({ write: () => {} })
@@ -13,9 +13,9 @@
 /** A leader; `before` may insert another table into its log ahead of each proposed one. */
 function createWriter(before: (proposed: number) => PutTable | undefined = () => undefined) {
   const table = createTableState()
-  const proposed: PutUpdate[] = []
+  const proposed: PutTableUpdate[] = []
   const propose = async (command: unknown) => {
-    const put = command as PutUpdate
+    const put = command as PutTableUpdate
     const other = before(proposed.length)
     proposed.push(put)
     if (other) table.put(other)
@@ -40,7 +40,7 @@
   })
 
   it('contain the full table when an entry of an earlier leader was applied in between', async () => {
-    const between: PutUpdate = {
+    const between: PutTableUpdate = {
       kind: 'table.put',
       version: 4,
       update: buildTableUpdate(undefined, buildTable(4)),
--- a/packages/control/src/__tests__/weightsRollout.spec.ts
+++ b/packages/control/src/__tests__/weightsRollout.spec.ts
@@ -11,8 +11,8 @@
 import { createServerMonitor } from '../registry/serverMonitor.js'
 import { createWeightsRollout, type WeightsRollout } from '../registry/weightsRollout.js'
 import type { RaftMember, RaftStatus } from '../raft/types.js'
-import type { LoadMark } from '../state/loadState.js'
-import { createControlMachine, type ControlMachine } from '../state/controlMachine.js'
+import type { WeightLoadStatus } from '../state/weightLoadState.js'
+import { createControlStateMachine, type ControlStateMachine } from '../state/controlMachine.js'
 import { buildServerIdentity } from '../state/serverState.js'
 
 const STEP_MS = 10
@@ -28,9 +28,13 @@
 /** A leader with simulated engines and a manual clock. */
 class TestLeader {
   readonly timers: ManualTimerService = createManualTimerService()
-  readonly machine: ControlMachine = createControlMachine()
+  readonly machine: ControlStateMachine = createControlStateMachine()
   readonly engines = new Map<BackendServerId, TestEngine>()
-  readonly orders: (LoadOrder & { server: BackendServerId; at: number; mark?: LoadMark })[] = []
+  readonly orders: (LoadOrder & {
+    server: BackendServerId
+    at: number
+    mark?: WeightLoadStatus
+  })[] = []
   /** Engines that execute orders without a response. */
   readonly unresponsive = new Set<BackendServerId>()
   status = { role: 'leader', term: 1, hasLease: true } as RaftStatus
@@ -48,7 +52,7 @@
       engineClient: {
         fetchReport: async ({ id }) => ({ ...(this.engines.get(id) as TestEngine) }),
         sendLoad: async ({ id, name }, order) => {
-          const mark = this.machine.loads.find(name)
+          const mark = this.machine.weightLoads.find(name)
           this.orders.push({ ...order, server: id, at: this.timers.now(), mark })
           ;(this.engines.get(id) as TestEngine).version = order.version
           return this.unresponsive.has(id) ? 'unknown' : 'taken'
@@ -82,7 +86,7 @@
   }
 
   nameWeights(version: number): void {
-    this.machine.weights.name({ kind: 'weights.name', model: 'm', version })
+    this.machine.weights.raiseVersion({ kind: 'weights.name', model: 'm', version })
   }
 
   async run(duration: number): Promise<void> {
@@ -188,8 +192,8 @@
     leader.nameWeights(2)
     await leader.run(3_000)
     expect(leader.orders.map(({ mark }) => mark)).to.deep.equal(['open', 'open'])
-    expect(leader.machine.loads.find(toServerName('answered'))).to.equal('ended')
-    expect(leader.machine.loads.find(toServerName('silent'))).to.equal('open')
+    expect(leader.machine.weightLoads.find(toServerName('answered'))).to.equal('ended')
+    expect(leader.machine.weightLoads.find(toServerName('silent'))).to.equal('open')
   })
 
   it('sends no orders without the leader lease', async () => {
@@ -204,7 +208,7 @@
 describe('server monitor', () => {
   it('lists servers with expired weights, including one that registers late', () => {
     const timers = createManualTimerService()
-    const machine = createControlMachine()
+    const machine = createControlStateMachine()
     const monitor = createServerMonitor({
       machine,
       timers,
--- a/packages/control/src/client/configFollower.ts
+++ b/packages/control/src/client/configFollower.ts
@@ -17,7 +17,7 @@
 } from '@spoolgate/core'
 import { BehaviorSubject, firstValueFrom, filter, map, race, type Observable } from 'rxjs'
 import type { ConfigUpdate } from '../state/configState.js'
-import { applyPatch, hashFleet, toNormalForm } from '../state/fleetPatch.js'
+import { applyFleetPatch, hashFleet, toCanonicalForm } from '../state/fleetPatch.js'
 
 /** Options of {@link createConfigFollower}. */
 export interface ConfigFollowerOptions {
@@ -40,7 +40,7 @@
   /** Version in force here; -1 before the first. */
   version(): number
   /** Notes that another process runs `version`; fetches from it when it is ahead. */
-  noteVersion(version: number, url: string): void
+  observeVersion(version: number, url: string): void
   /** Waits until `version` is in force here; false when it took too long. */
   waitForVersion(version: number, timeoutMs: number): Promise<boolean>
   /** Routes by which this node serves the configuration to others. */
@@ -62,7 +62,7 @@
   const stopping = new AbortController()
   const fleets = new BehaviorSubject<Fleet | undefined>(undefined)
   const changes = fleets.pipe(filter((fleet): fleet is Fleet => fleet !== undefined))
-  let source: FleetConfigInput = toNormalForm({})
+  let source: FleetConfigInput = toCanonicalForm({})
   let fetching: Promise<void> | undefined
 
   const version = () => fleets.value?.version ?? NO_VERSION
@@ -82,10 +82,10 @@
   const applyUpdate = (update: ConfigAnswer): boolean => {
     if (update.kind === 'current') return true
     if (update.kind === 'whole') {
-      install(toNormalForm(update.source), update.version)
+      install(toCanonicalForm(update.source), update.version)
       return true
     }
-    const next = update.patches.reduce(applyPatch, source)
+    const next = update.patches.reduce(applyFleetPatch, source)
     if (hashFleet(next) !== update.hash) return false
     install(next, update.version)
     return true
@@ -131,7 +131,7 @@
     current: () => fleets.value,
     changes,
     version,
-    noteVersion: (seen, url) => {
+    observeVersion: (seen, url) => {
       if (seen <= version() || fetching) return
       fetching = fetchFrom(url, 0, FETCH_TIMEOUT_MS)
         .catch((cause) => logger.debug('config.fetchFailed', { url, reason: String(cause) }))
--- a/packages/control/src/group/groupPlan.ts
+++ b/packages/control/src/group/groupPlan.ts
@@ -5,7 +5,7 @@
 import type { MemberInfo, MemberMap } from '../raft/messages.js'
 
 /** What the leader knows of one member. */
-export interface MemberView {
+export interface MemberHealth {
   /** Ms since the member last followed; 0 for the leader itself. */
   readonly silentMs: number
   /** Whether the member holds all that was committed. */
@@ -13,23 +13,23 @@
 }
 
 /** A process that asked to be taken in. */
-export interface Joiner {
+export interface JoinRequest {
   readonly name: string
   readonly url: string
 }
 
-/** Input of {@link findGroupStep}. */
-export interface GroupPlanInput {
+/** Input of {@link findMembershipStep}. */
+export interface MembershipPlanInput {
   readonly leader: string
   readonly members: MemberMap
-  readonly joiners: readonly Joiner[]
+  readonly joinRequests: readonly JoinRequest[]
   /** Voters that the group should have, if there are as many instances. */
-  readonly wantedVoters: number
-  readonly findView: (name: string) => MemberView
+  readonly targetVoters: number
+  readonly findHealth: (name: string) => MemberHealth
 }
 
 /** A change of the group with its reason. */
-export interface GroupStep {
+export interface MembershipStep {
   readonly members: MemberMap
   readonly reason: string
   readonly member: string
@@ -47,7 +47,7 @@
  */
 export const SHRINK_AFTER_MS = 5_000
 /** Silence after which a learner is forgotten, in ms; it asks to be taken in when it returns. */
-export const FORGET_AFTER_MS = 15_000
+export const REMOVE_LEARNER_AFTER_MS = 15_000
 /** Longest silence of a learner that becomes a voter, in ms. */
 const ALIVE_MS = 600
 
@@ -65,7 +65,11 @@
 }
 
 /** A member whose address now belongs to another disk can never return. */
-function findReplacedDisk({ members, joiners, leader }: GroupPlanInput): GroupStep | undefined {
+function findReplacedDisk({
+  members,
+  joinRequests: joiners,
+  leader,
+}: MembershipPlanInput): MembershipStep | undefined {
   for (const joiner of joiners) {
     const old = Object.entries(members).find(
       ([name, { url }]) => url === joiner.url && name !== joiner.name && name !== leader,
@@ -75,15 +79,18 @@
   return undefined
 }
 
-function findJoin({ members, joiners }: GroupPlanInput): GroupStep | undefined {
+function findJoin({
+  members,
+  joinRequests: joiners,
+}: MembershipPlanInput): MembershipStep | undefined {
   const joiner = joiners.find(({ name }) => !(name in members))
   if (!joiner) return undefined
   const { name, url } = joiner
   return { members: { ...members, [name]: { url, kind: 'learner' } }, member: name, reason: 'join' }
 }
 
-function findVoterStep(input: GroupPlanInput): GroupStep | undefined {
-  const { members, leader, wantedVoters, findView } = input
+function findVoterStep(input: MembershipPlanInput): MembershipStep | undefined {
+  const { members, leader, targetVoters: wantedVoters, findHealth: findView } = input
   const entries: Entry[] = Object.entries(members)
   const voters = entries.filter(([, { kind }]) => kind === 'voter')
   const isSilent = ([name]: Entry) => name !== leader && findView(name).silentMs > REPLACE_AFTER_MS
@@ -110,15 +117,19 @@
   return { members: applyKind(members, away, 'learner'), member: away[0], reason: 'away' }
 }
 
-function findForgotten({ members, findView, leader }: GroupPlanInput): GroupStep | undefined {
+function findForgotten({
+  members,
+  findHealth: findView,
+  leader,
+}: MembershipPlanInput): MembershipStep | undefined {
   const lost = Object.entries(members).find(
     ([name, { kind }]) =>
-      kind === 'learner' && name !== leader && findView(name).silentMs > FORGET_AFTER_MS,
+      kind === 'learner' && name !== leader && findView(name).silentMs > REMOVE_LEARNER_AFTER_MS,
   )
   return lost && { members: removeMember(members, lost[0]), member: lost[0], reason: 'silent' }
 }
 
 /** Plans the next change of the group; undefined when it is as it should be. */
-export function findGroupStep(input: GroupPlanInput): GroupStep | undefined {
+export function findMembershipStep(input: MembershipPlanInput): MembershipStep | undefined {
   return findReplacedDisk(input) ?? findJoin(input) ?? findVoterStep(input) ?? findForgotten(input)
 }
--- a/packages/control/src/group/groupKeeper.ts
+++ b/packages/control/src/group/membershipManager.ts
@@ -11,32 +11,32 @@
   type TimerService,
 } from '@spoolgate/core'
 import type { RaftMember } from '../raft/types.js'
-import { createBearingReport } from './bearingReport.js'
-import { findGroupStep, type Joiner, type MemberView } from './groupPlan.js'
+import { createFaultToleranceReport } from './faultToleranceReport.js'
+import { findMembershipStep, type JoinRequest, type MemberHealth } from './groupPlan.js'
 
 /** Path at which an instance asks a member to be taken in. */
 export const JOIN_PATH = '/group/join'
 
-/** Options of {@link createGroupKeeper}. */
-export interface GroupKeeperOptions {
+/** Options of {@link createMembershipManager}. */
+export interface MembershipManagerOptions {
   readonly member: RaftMember
   readonly name: string
   readonly url: string
   readonly seeds: () => readonly string[]
   /** Voters that the group should have. */
-  readonly wantedVoters: number
+  readonly targetVoters: number
   readonly client: HttpClient
   readonly timers: TimerService
   readonly logger: Logger
 }
 
-/** Keeps the group; see {@link createGroupKeeper}. */
-export interface GroupKeeper {
+/** Keeps the group; see {@link createMembershipManager}. */
+export interface MembershipManager {
   /**
    * Notes at the leader that an instance asks to be taken in.
    * @throws SpoolgateError `notLeader` with the leader's URL elsewhere.
    */
-  noteJoin(joiner: Joiner): void
+  recordJoinRequest(joiner: JoinRequest): void
   close(): Promise<void>
 }
 
@@ -50,21 +50,21 @@
 const JOINER_LIFE_MS = 3_000
 
 /** Creates the keeper and starts its task. */
-export function createGroupKeeper(options: GroupKeeperOptions): GroupKeeper {
+export function createMembershipManager(options: MembershipManagerOptions): MembershipManager {
   const { member, timers, logger, client } = options
   const stopping = new AbortController()
-  const joiners = new Map<string, { readonly joiner: Joiner; readonly at: number }>()
+  const joiners = new Map<string, { readonly joiner: JoinRequest; readonly at: number }>()
   let leaderSeenAt = -Infinity
   let leadingTerm: number | undefined
   let leadingSince = 0
-  const bearing = createBearingReport(options)
+  const bearing = createFaultToleranceReport(options)
 
-  const listJoiners = (): Joiner[] => {
+  const listJoiners = (): JoinRequest[] => {
     const oldest = timers.now() - JOINER_LIFE_MS
     for (const [name, { at }] of joiners) if (at < oldest) joiners.delete(name)
     return [...joiners.values()].map(({ joiner }) => joiner)
   }
-  const findView = (name: string): MemberView => {
+  const findView = (name: string): MemberHealth => {
     const { commitIndex } = member.status()
     if (name === options.name) return { silentMs: 0, isCaughtUp: true }
     const found = member.listFollowers().find((follower) => follower.name === name)
@@ -81,13 +81,13 @@
     }
     if (!hasLease) return
     bearing.recordGroup(members)
-    const { wantedVoters, name } = options
-    const step = findGroupStep({
+    const { targetVoters: wantedVoters, name } = options
+    const step = findMembershipStep({
       leader: name,
       members,
-      joiners: listJoiners(),
-      wantedVoters,
-      findView,
+      joinRequests: listJoiners(),
+      targetVoters: wantedVoters,
+      findHealth: findView,
     })
     if (!step) return
     logger.info('group.change', { member: step.member, reason: step.reason, term })
@@ -109,7 +109,7 @@
     })
     await Promise.allSettled(asked)
   }
-  const askOne = (target: string, json: Joiner) =>
+  const askOne = (target: string, json: JoinRequest) =>
     client.sendJson({
       method: 'POST',
       url: `${target}${JOIN_PATH}`,
@@ -136,7 +136,7 @@
   }
   const running = run()
   return {
-    noteJoin: (joiner) => {
+    recordJoinRequest: (joiner) => {
       const { role, leader, leaderUrl } = member.status()
       if (role !== 'leader') {
         throw new SpoolgateError('notLeader', 'ask the leader', { details: { leader, leaderUrl } })
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -1,14 +1,18 @@
 export { openDataFolder, type AppendFile, type DataFolder } from './log/dataFolder.js'
-export { createControl, type Control, type ControlOptions } from './server/controlServer.js'
-export type { SubmitRequest } from './server/configRoutes.js'
+export {
+  createControlServer,
+  type ControlServer,
+  type ControlServerOptions,
+} from './server/controlServer.js'
+export type { SubmitConfigRequest } from './server/configRoutes.js'
 export type { MemberChange } from './server/groupRoutes.js'
 export type { NodeVersion } from './server/nodeVersions.js'
 export { createControlClient, type ControlClient } from './client/controlClient.js'
 export { createConfigFollower, type ConfigFollower } from './client/configFollower.js'
 export type { RaftMember, RaftStatus } from './raft/types.js'
 export type { MemberMap } from './raft/messages.js'
-export type { ChangeRecord, SubmitResult } from './state/configState.js'
-export type { ClaimedDispatch, KeptAnswer, OpenResult } from './state/claimState.js'
+export type { ChangeRecord, SubmitConfigResult } from './state/configState.js'
+export type { ClaimedDispatch, StoredResponse, OpenClaimResult } from './state/claimState.js'
 export type { Order, OrderAction } from './state/orderState.js'
 export { createClaimState, type ClaimState } from './state/claimState.js'
 export {
@@ -57,7 +61,7 @@
   type QuotaTolerance,
 } from './registry/quotaProtocol.js'
 export { createRateLimitAllocator, type RateLimitAllocator } from './registry/rateLimitAllocator.js'
-export { createControlMachine, type ControlMachine } from './state/controlMachine.js'
+export { createControlStateMachine, type ControlStateMachine } from './state/controlMachine.js'
 export { createLoadAggregator, type LoadAggregator } from './registry/loadAggregator.js'
 export {
   createQuarantineCoordinator,
@@ -85,11 +89,11 @@
 } from './registry/feed.js'
 export {
   buildServerIdentity,
-  isStartKnown,
-  type HeldWeights,
+  isStartTimeKnown,
+  type LoadedWeights,
   type RegisteredServer,
   type ServerIdentity,
   type ServerPhase,
 } from './state/serverState.js'
-export type { HeldTable } from './table/tableUpdate.js'
+export type { VersionedTable } from './table/tableUpdate.js'
 export type { TableAccess } from './registry/tableAccess.js'
--- a/packages/control/src/quarantine/trialScheduler.ts
+++ b/packages/control/src/quarantine/trialScheduler.ts
@@ -3,7 +3,7 @@
  * crashes one more server instead of one per router, and the crash is not attributed to another request on trial.
  */
 import type { RequestFingerprint, TimerService } from '@spoolgate/core'
-import { QUARANTINE_BOUNDS, type QuarantineState } from '../state/quarantineState.js'
+import { QUARANTINE_CAPACITY, type QuarantineState } from '../state/quarantineState.js'
 import { createFingerprintMap } from './fingerprintMap.js'
 import { findQuarantineMs } from './crashReport.js'
 
@@ -44,7 +44,7 @@
   quarantine,
   timers,
 }: TrialSchedulerOptions): TrialScheduler {
-  const rounds = createFingerprintMap<QuarantineRound>(QUARANTINE_BOUNDS)
+  const rounds = createFingerprintMap<QuarantineRound>(QUARANTINE_CAPACITY)
   let currentTrial:
     { readonly request: RequestFingerprint; readonly state: QuarantineRound } | undefined
 
--- a/packages/control/src/registry/cacheWatch.ts
+++ b/packages/control/src/registry/cacheWatch.ts
@@ -14,7 +14,7 @@
 } from 'rxjs'
 import { setMaxListeners } from 'node:events'
 import type { RaftMember } from '../raft/types.js'
-import type { ControlMachine } from '../state/controlMachine.js'
+import type { ControlStateMachine } from '../state/controlMachine.js'
 import type { Placement, ReachableStore } from './feed.js'
 import type { DecodedTable } from './decodedTable.js'
 import {
@@ -61,7 +61,7 @@
 /** Options of {@link createCacheWatch}. */
 export interface CacheWatchOptions {
   readonly member: RaftMember
-  readonly machine: ControlMachine
+  readonly machine: ControlStateMachine
   readonly client: CacheClient
   readonly table: Pick<DecodedTable, 'current' | 'isKnownGroup'>
   readonly timers: TimerService
--- a/packages/control/src/registry/feedSource.ts
+++ b/packages/control/src/registry/feedSource.ts
@@ -10,7 +10,7 @@
 import type { ServerResponse } from 'node:http'
 import type { QuarantineCoordinator } from '../quarantine/quarantineCoordinator.js'
 import type { RaftMember } from '../raft/types.js'
-import type { ControlMachine } from '../state/controlMachine.js'
+import type { ControlStateMachine } from '../state/controlMachine.js'
 import {
   MAX_PLACEMENTS_PER_REPLY,
   type FeedReply,
@@ -33,7 +33,7 @@
 /** Options of {@link createFeedSource}. */
 export interface FeedSourceOptions {
   readonly member: RaftMember
-  readonly machine: ControlMachine
+  readonly machine: ControlStateMachine
   readonly timers: TimerService
   readonly findConditions: () => ServerConditions
   /** Emits when the conditions change. */
--- a/packages/control/src/registry/fleetOperations.ts
+++ b/packages/control/src/registry/fleetOperations.ts
@@ -13,9 +13,9 @@
 } from '@spoolgate/core'
 import { LRUCache } from 'lru-cache'
 import type { RaftMember } from '../raft/types.js'
-import type { ControlMachine } from '../state/controlMachine.js'
+import type { ControlStateMachine } from '../state/controlMachine.js'
 import {
-  isSameServer,
+  isSameRegistration,
   mergeServer,
   type RegisteredServer,
   type ServerResult,
@@ -24,7 +24,7 @@
 import { applyTableUpdate, buildTableUpdate, type TableUpdate } from '../table/tableUpdate.js'
 import { createServerSignals } from './serverSignals.js'
 import { createTableWriter } from './tableWriter.js'
-import type { NameWeights, NameWeightsResult } from '../state/weightsState.js'
+import type { SetWeightsVersion, SetWeightsVersionResult } from '../state/weightsState.js'
 
 /** Path prefix under which instances forward operations to the leader. */
 export const OPERATION_PATH = '/fleet'
@@ -61,7 +61,7 @@
   /** Stores a complete table, packed. */
   putTable: { input: { readonly whole: TableUpdate }; output: PutTableResult }
   readTable: { input: ReadTable; output: NewestTable }
-  nameWeights: { input: Omit<NameWeights, 'kind'>; output: NameWeightsResult }
+  nameWeights: { input: Omit<SetWeightsVersion, 'kind'>; output: SetWeightsVersionResult }
   observeServer: { input: ServerHeartbeat; output: ServerResult }
   retireServer: { input: ServerLeave; output: ServerResult }
 }
@@ -72,7 +72,7 @@
 /** Options of {@link createFleetOperationRunner}. */
 export interface FleetOperationRunnerOptions {
   readonly member: RaftMember
-  readonly machine: ControlMachine
+  readonly machine: ControlStateMachine
   readonly client: HttpClient
   readonly timers: TimerService
   readonly logger: Logger
@@ -153,7 +153,8 @@
     const known = machine.servers.find(id)
     if (!signals.admitHeartbeat(server, count)) return { phase: known?.phase ?? 'gone' }
     receivedAt.set(id, timers.now())
-    if (known && isSameServer(known, mergeServer(known, server))) return { phase: known.phase }
+    if (known && isSameRegistration(known, mergeServer(known, server)))
+      return { phase: known.phase }
     logger.info('server.observed', {
       server: id,
       group,
@@ -184,7 +185,10 @@
       )
     },
     nameWeights: async (input) => {
-      const result = (await member.propose({ kind: 'weights.name', ...input })) as NameWeightsResult
+      const result = (await member.propose({
+        kind: 'weights.name',
+        ...input,
+      })) as SetWeightsVersionResult
       logger.info('weights.named', { ...input, wanted: result.version })
       return result
     },
--- a/packages/control/src/registry/fleetReplica.ts
+++ b/packages/control/src/registry/fleetReplica.ts
@@ -8,7 +8,7 @@
   applyTableUpdate,
   measureUpdate,
   NO_TABLE_VERSION,
-  type HeldTable,
+  type VersionedTable,
   type TableUpdate,
 } from '../table/tableUpdate.js'
 import type { RegisteredServer } from '../state/serverState.js'
@@ -113,7 +113,7 @@
   logger,
   decodeTable,
 }: FleetReplicaOptions): FleetReplica {
-  let heldTable: HeldTable | undefined
+  let heldTable: VersionedTable | undefined
   let index: TableIndex | undefined
   let weights: Readonly<Record<string, number>> = {}
   let weightsSince: Readonly<Record<string, number>> = {}
--- a/packages/control/src/registry/instanceSearch.ts
+++ b/packages/control/src/registry/instanceSearch.ts
@@ -12,7 +12,7 @@
   type RandomSource,
   type TimerService,
 } from '@spoolgate/core'
-import { findLeaderUrl } from '../group/groupKeeper.js'
+import { findLeaderUrl } from '../group/membershipManager.js'
 
 /** Options of {@link createInstanceSearch}. */
 export interface InstanceSearchOptions<Answer> {
--- a/packages/control/src/registry/orderLeases.ts
+++ b/packages/control/src/registry/orderLeases.ts
@@ -5,11 +5,11 @@
  * 3.5 s after each leader change.
  */
 import type { ServerName, TimerService } from '@spoolgate/core'
-import type { LoadState } from '../state/loadState.js'
+import type { WeightLoadState } from '../state/weightLoadState.js'
 
 /** Options of {@link createOrderLeases}. */
 export interface OrderLeasesOptions {
-  readonly loads: LoadState
+  readonly loads: WeightLoadState
   readonly timers: TimerService
   /** Time for which orders of a previous leader may still take effect, in ms. */
   readonly orderLeaseMs: number
--- a/packages/control/src/registry/registryControl.ts
+++ b/packages/control/src/registry/registryControl.ts
@@ -22,8 +22,8 @@
 import type { RoutingTable } from '@spoolgate/routing'
 import { merge, Subject } from 'rxjs'
 import { createQuarantineCoordinator } from '../quarantine/quarantineCoordinator.js'
-import { createGroupKeeper, JOIN_PATH } from '../group/groupKeeper.js'
-import type { Joiner } from '../group/groupPlan.js'
+import { createMembershipManager, JOIN_PATH } from '../group/membershipManager.js'
+import type { JoinRequest } from '../group/groupPlan.js'
 import { openIdentity } from '../group/identity.js'
 import { openDataFolder, type DataFolder } from '../log/dataFolder.js'
 import { openLogStore } from '../log/logStore.js'
@@ -31,7 +31,7 @@
 import type { RaftMember } from '../raft/types.js'
 import { createRaftRoute } from '../server/groupRoutes.js'
 import { createHttpTransport } from '../server/raftTransport.js'
-import { createControlMachine, type ControlMachine } from '../state/controlMachine.js'
+import { createControlStateMachine, type ControlStateMachine } from '../state/controlMachine.js'
 import { createCacheWatch, type CacheClient } from './cacheWatch.js'
 import type { EngineClient } from './engineClient.js'
 import { FEED_PATH, TABLE_PATH, type FeedRequest } from './feed.js'
@@ -103,7 +103,7 @@
 export interface RegistryControl {
   readonly url: string
   readonly member: RaftMember
-  readonly machine: ControlMachine
+  readonly machine: ControlStateMachine
   /** Runs the operations requested by operators and backend servers. */
   readonly operations: FleetOperationRunner
   /** Operators' access to the routing table. */
@@ -125,7 +125,7 @@
   const metrics = createMetrics('control')
   const invariants = createInvariants({ logger, metrics })
   const electionMs = options.electionMs ?? DEFAULT_ELECTION_MS
-  const machine = createControlMachine()
+  const machine = createControlStateMachine()
   const client = createHttpClient()
   const { dataFolder } = options
   const folder = typeof dataFolder === 'string' ? await openDataFolder(dataFolder) : dataFolder
@@ -170,12 +170,12 @@
     snapshotEvery: SNAPSHOT_EVERY,
     startedAt: options.startedAt,
   })
-  const groupKeeper = createGroupKeeper({
+  const groupKeeper = createMembershipManager({
     member,
     name: identity.name,
     url,
     seeds: options.seeds,
-    wantedVoters: options.wantedVoters,
+    targetVoters: options.wantedVoters,
     client,
     timers,
     logger,
@@ -277,7 +277,9 @@
       method: 'POST',
       path: JOIN_PATH,
       handler: async ({ request, response }: HttpExchange) => {
-        groupKeeper.noteJoin((await readJson(request, INTERNAL_BODY_LIMITS)) as Joiner)
+        groupKeeper.recordJoinRequest(
+          (await readJson(request, INTERNAL_BODY_LIMITS)) as JoinRequest,
+        )
         sendJson(response, 200, {})
       },
     },
--- a/packages/control/src/registry/serverMonitor.ts
+++ b/packages/control/src/registry/serverMonitor.ts
@@ -4,12 +4,12 @@
  */
 import type { BackendServerId, TimerService } from '@spoolgate/core'
 import { Subject, type Observable } from 'rxjs'
-import type { ControlMachine } from '../state/controlMachine.js'
+import type { ControlStateMachine } from '../state/controlMachine.js'
 import type { RegisteredServer } from '../state/serverState.js'
 
 /** Options of {@link createServerMonitor}. */
 export interface ServerMonitorOptions {
-  readonly machine: ControlMachine
+  readonly machine: ControlStateMachine
   readonly timers: TimerService
   /** Returns the time since the last heartbeat of a server, in ms. */
   readonly findHeartbeatAgeMs: (id: BackendServerId) => number
--- a/packages/control/src/registry/serverSignals.ts
+++ b/packages/control/src/registry/serverSignals.ts
@@ -7,7 +7,7 @@
 import { LRUCache } from 'lru-cache'
 import {
   buildServerIdentity,
-  isStartKnown,
+  isStartTimeKnown,
   type RegisteredServer,
   type ServerIdentity,
   type ServerState,
@@ -15,7 +15,7 @@
 
 /** Options of {@link createServerSignals}. */
 export interface ServerSignalsOptions {
-  readonly servers: Pick<ServerState, 'find' | 'findByName' | 'list' | 'isOver'>
+  readonly servers: Pick<ServerState, 'find' | 'findByName' | 'list' | 'isIncarnationEnded'>
   readonly timers: TimerService
   readonly logger: Logger
   /** Time without a heartbeat after which a backend server counts as silent, in ms. */
@@ -63,10 +63,10 @@
     displaced.has(id) &&
     findHeartbeatAgeMs(holder.id) < options.silentAfterMs
   const findLateReason = (server: RegisteredServer, count: number | undefined) => {
-    if (servers.isOver(server)) return 'over'
+    if (servers.isIncarnationEnded(server)) return 'over'
     // Without a start time, a lower sequence number may belong to a different start.
     const isLower = count !== undefined && count < (counts.get(server.id) ?? count)
-    if (isLower && isStartKnown(server)) return 'count'
+    if (isLower && isStartTimeKnown(server)) return 'count'
     return isDisplaced(server, findAddressHolder(server)) ? 'displaced' : undefined
   }
   const recordDisplacement = (server: RegisteredServer, holder: RegisteredServer) => {
@@ -108,7 +108,7 @@
     resolveLeave: (name, startedAt) => {
       const known = servers.findByName(name)
       // A server whose heartbeats have no start time is the registered one, whatever start its leave message names.
-      if (known && !isStartKnown(known)) return known
+      if (known && !isStartTimeKnown(known)) return known
       if (startedAt !== undefined || !known) return buildServerIdentity(name, startedAt)
       const isRecentStart =
         timers.now() - (firstReceivedAt.get(known.id) ?? -Infinity) < LATE_LEAVE_WINDOW_MS
--- a/packages/control/src/registry/tableAccess.ts
+++ b/packages/control/src/registry/tableAccess.ts
@@ -5,7 +5,7 @@
   applyTableUpdate,
   buildTableUpdate,
   NO_TABLE_VERSION,
-  type HeldTable,
+  type VersionedTable,
 } from '../table/tableUpdate.js'
 import type { FleetOperationRunner } from './fleetOperations.js'
 
@@ -22,12 +22,12 @@
    * Writes a table whose document has been validated.
    * @throws SpoolgateError `controlUnavailable` if the outcome of the write is unknown.
    */
-  put(table: HeldTable): Promise<PutTableResult>
+  put(table: VersionedTable): Promise<PutTableResult>
   /**
    * Reads the newest table.
    * @throws SpoolgateError `controlUnavailable` if no instance can confirm which one is the newest.
    */
-  read(): Promise<HeldTable>
+  read(): Promise<VersionedTable>
 }
 
 /** Creates the table access of one instance. */
--- a/packages/control/src/registry/tableWriter.ts
+++ b/packages/control/src/registry/tableWriter.ts
@@ -5,7 +5,7 @@
 import type { Logger } from '@spoolgate/core'
 import type { RaftMember } from '../raft/types.js'
 import type { PutTableResult, TableState } from '../state/tableState.js'
-import { buildTableUpdate, measureUpdate, type HeldTable } from '../table/tableUpdate.js'
+import { buildTableUpdate, measureUpdate, type VersionedTable } from '../table/tableUpdate.js'
 
 /** Options of {@link createTableWriter}. */
 export interface TableWriterOptions {
@@ -20,14 +20,14 @@
    * Writes a table; resolves once the outcome is known.
    * @throws SpoolgateError `notLeader`, or `controlUnavailable` if the outcome is unknown.
    */
-  put(table: HeldTable): Promise<PutTableResult>
+  put(table: VersionedTable): Promise<PutTableResult>
 }
 
 /** Creates the queue of table writes. */
 export function createTableWriter({ member, table, logger }: TableWriterOptions): TableWriter {
   let queueTail: Promise<unknown> = Promise.resolve()
 
-  const propose = async (before: HeldTable | undefined, next: HeldTable) => {
+  const propose = async (before: VersionedTable | undefined, next: VersionedTable) => {
     const update = buildTableUpdate(before, next)
     const { version } = next
     const result = (await member.propose({ kind: 'table.put', version, update })) as PutTableResult
@@ -39,7 +39,7 @@
     })
     return result
   }
-  const putNow = async (next: HeldTable): Promise<PutTableResult> => {
+  const putNow = async (next: VersionedTable): Promise<PutTableResult> => {
     const held = table.current()
     // The applied table is committed, so a version that is not newer needs no log entry.
     if (held && next.version <= held.version) return { isNewer: false, version: held.version }
--- a/packages/control/src/registry/weightsRollout.ts
+++ b/packages/control/src/registry/weightsRollout.ts
@@ -13,7 +13,7 @@
 } from '@spoolgate/core'
 import { Subject, type Observable } from 'rxjs'
 import type { RaftMember } from '../raft/types.js'
-import type { ControlMachine } from '../state/controlMachine.js'
+import type { ControlStateMachine } from '../state/controlMachine.js'
 import type { RegisteredServer } from '../state/serverState.js'
 import type { EngineClient, EngineReport, OrderOutcome } from './engineClient.js'
 import type { ServerLoads } from './feed.js'
@@ -22,7 +22,7 @@
 /** Options of {@link createWeightsRollout}. */
 export interface WeightsRolloutOptions {
   readonly member: RaftMember
-  readonly machine: ControlMachine
+  readonly machine: ControlStateMachine
   readonly engineClient: EngineClient
   readonly instance: string
   readonly timers: TimerService
@@ -96,7 +96,7 @@
   const unanswered = new Set<BackendServerId>()
   const loadingChanges = new Subject<void>()
   const leases = createOrderLeases({
-    loads: machine.loads,
+    loads: machine.weightLoads,
     timers,
     orderLeaseMs: options.orderLeaseMs,
   })
--- a/packages/control/src/server/configRoutes.ts
+++ b/packages/control/src/server/configRoutes.ts
@@ -17,15 +17,15 @@
 } from '@spoolgate/core'
 import { firstValueFrom, fromEvent, race, type Observable } from 'rxjs'
 import type { RaftMember } from '../raft/types.js'
-import type { SubmitResult } from '../state/configState.js'
-import type { ControlMachine } from '../state/controlMachine.js'
-import { compareFleets, listPatchedNames } from '../state/fleetPatch.js'
+import type { SubmitConfigResult } from '../state/configState.js'
+import type { ControlStateMachine } from '../state/controlMachine.js'
+import { buildFleetPatch, listPatchedItems } from '../state/fleetPatch.js'
 import type { NodeVersions } from './nodeVersions.js'
 
 /** Options of {@link createConfigRoutes}. */
 export interface ConfigRoutesOptions {
   readonly member: RaftMember
-  readonly machine: ControlMachine
+  readonly machine: ControlStateMachine
   readonly nodes: NodeVersions
   readonly timers: TimerService
   readonly processKey: string
@@ -35,7 +35,7 @@
 }
 
 /** Body of a submitted configuration. */
-export interface SubmitRequest {
+export interface SubmitConfigRequest {
   readonly changeId: string
   readonly base: number
   readonly operator: string
@@ -46,9 +46,9 @@
 }
 
 /** Longest wait of a long poll, in ms. */
-export const MAX_POLL_MS = 30_000
+export const MAX_POLL_WAIT_MS = 30_000
 
-function parseSource(request: SubmitRequest): FleetConfigInput {
+function parseSource(request: SubmitConfigRequest): FleetConfigInput {
   if (request.text === undefined) return checkSource(request.source, undefined)
   const parsed = parseText(request.file ?? 'fleet', request.text)
   if (parsed.isErr()) throw new SpoolgateError('invalidSettings', formatProblems(parsed.error))
@@ -66,14 +66,16 @@
   throw new SpoolgateError('invalidSettings', text, { details: { problems } })
 }
 
-function checkSubmit(body: unknown): SubmitRequest {
-  const request = body as SubmitRequest
+function checkSubmit(body: unknown): SubmitConfigRequest {
+  const request = body as SubmitConfigRequest
   const isNamed = typeof request?.changeId === 'string' && typeof request.operator === 'string'
   if (isNamed && Number.isInteger(request.base)) return request
   throw new SpoolgateError('invalidRequest', 'send changeId, operator and base, the version seen')
 }
 
-function toConflictError(result: Exclude<SubmitResult, { kind: 'accepted' }>): SpoolgateError {
+function toConflictError(
+  result: Exclude<SubmitConfigResult, { kind: 'accepted' }>,
+): SpoolgateError {
   const message =
     result.kind === 'conflict'
       ? `version ${result.version} came first; fetch it, repeat the change on it, submit again`
@@ -91,16 +93,21 @@
     const { changeId, base, operator } = submitted
     const at = timers.wallNow()
     const command = { kind: 'config.submit', changeId, base, operator, source, at } as const
-    const result = (await member.propose(command)) as SubmitResult
+    const result = (await member.propose(command)) as SubmitConfigResult
     if (result.kind !== 'accepted') throw toConflictError(result)
     sendJson(response, 200, result)
   }
 
   const waitForVersion = async (after: number, waitMs: number, response: ServerResponse) => {
     if (machine.config.version() > after) return
-    const late = timers.after(Math.min(waitMs, MAX_POLL_MS))
+    const late = timers.after(Math.min(waitMs, MAX_POLL_WAIT_MS))
     // Without the last two a poll outlived its node, and kept a stopping instance for its whole wait.
-    const isOver = race(machine.versions, late, fromEvent(response, 'close'), options.stopping)
+    const isOver = race(
+      machine.configVersions,
+      late,
+      fromEvent(response, 'close'),
+      options.stopping,
+    )
     await firstValueFrom(isOver, { defaultValue: undefined })
   }
   const follow = async ({ response, query }: HttpExchange) => {
@@ -134,8 +141,8 @@
   const showVersion = ({ response, params }: HttpExchange) =>
     sendJson(response, 200, { version: Number(params.version), source: findKept(params.version) })
   const showDiff = ({ response, query }: HttpExchange) => {
-    const patch = compareFleets(findKept(query.get('from')), findKept(query.get('to')))
-    sendJson(response, 200, { touched: listPatchedNames(patch), patch })
+    const patch = buildFleetPatch(findKept(query.get('from')), findKept(query.get('to')))
+    sendJson(response, 200, { touched: listPatchedItems(patch), patch })
   }
   const showStatus = ({ response }: HttpExchange) =>
     sendJson(response, 200, { version: machine.config.version(), nodes: nodes.list() })
--- a/packages/control/src/server/controlServer.ts
+++ b/packages/control/src/server/controlServer.ts
@@ -20,7 +20,7 @@
 import { createRaftMember } from '../raft/member.js'
 import type { RaftMember } from '../raft/types.js'
 import type { MemberMap } from '../raft/messages.js'
-import { createControlMachine, type ControlMachine } from '../state/controlMachine.js'
+import { createControlStateMachine, type ControlStateMachine } from '../state/controlMachine.js'
 import { createConfigRoutes } from './configRoutes.js'
 import { createGroupRoutes } from './groupRoutes.js'
 import { createNodeVersions } from './nodeVersions.js'
@@ -28,8 +28,8 @@
 import { createHttpTransport } from './raftTransport.js'
 import { createShareLedger } from './shareLedger.js'
 
-/** Options of {@link createControl}. */
-export interface ControlOptions {
+/** Options of {@link createControlServer}. */
+export interface ControlServerOptions {
   readonly member: string
   /** URLs of the founders, by name; undefined for a group of this member alone. */
   readonly founders?: Readonly<Record<string, string>>
@@ -81,10 +81,10 @@
 }
 
 /** A running control instance. */
-export interface Control {
+export interface ControlServer {
   readonly url: string
   readonly member: RaftMember
-  readonly machine: ControlMachine
+  readonly machine: ControlStateMachine
   readonly invariants: Invariants
   /** Bytes over all connections to this instance so far. */
   traffic(): TrafficCount
@@ -98,7 +98,7 @@
 const CLAIM_EXPIRY_PERIOD_MS = 600_000
 const DEFAULT_DRAIN_MS = 2_000
 
-function createFounderMap(options: ControlOptions, ownUrl: string): MemberMap {
+function createFounderMap(options: ControlServerOptions, ownUrl: string): MemberMap {
   const founders = options.founders ?? { [options.member]: ownUrl }
   return Object.fromEntries(
     Object.entries(founders).map(([name, url]) => [name, { url, kind: 'voter' }]),
@@ -106,7 +106,7 @@
 }
 
 /** Resolves the configuration in force, once for each version. */
-function createFleetReader(machine: ControlMachine): () => Fleet | undefined {
+function createFleetReader(machine: ControlStateMachine): () => Fleet | undefined {
   let known: Fleet | undefined
   return () => {
     const version = machine.config.version()
@@ -118,12 +118,12 @@
 }
 
 /** Creates a control instance and waits until it listens. */
-export async function createControl(options: ControlOptions): Promise<Control> {
+export async function createControlServer(options: ControlServerOptions): Promise<ControlServer> {
   const { logger, timers, processKey, operatorKey } = options
   const metrics = createMetrics('control')
   const invariants = createInvariants({ logger, metrics, fatal: options.isFatal })
   const electionMs = options.electionMs ?? DEFAULT_ELECTION_MS
-  const machine = createControlMachine()
+  const machine = createControlStateMachine()
   const client = createHttpClient({ key: processKey, caFile: options.tls?.caFile })
   const isCut = options.isCut ?? (() => false)
   const folder =
--- a/packages/control/src/server/groupRoutes.ts
+++ b/packages/control/src/server/groupRoutes.ts
@@ -17,7 +17,7 @@
   MemberMap,
   VoteRequest,
 } from '../raft/messages.js'
-import type { ControlCommandKind, ControlMachine } from '../state/controlMachine.js'
+import type { ControlCommandKind, ControlStateMachine } from '../state/controlMachine.js'
 import { RAFT_PATH } from './raftTransport.js'
 import type { ShareLedger, ShareRequest } from './shareLedger.js'
 
@@ -26,7 +26,7 @@
 /** Options of {@link createGroupRoutes}. */
 export interface GroupRoutesOptions {
   readonly member: RaftMember
-  readonly machine: ControlMachine
+  readonly machine: ControlStateMachine
   readonly timers: TimerService
   readonly processKey: string
   readonly operatorKey: string
@@ -122,7 +122,7 @@
   }
   const serveHighest = ({ response, params }: HttpExchange) => {
     member.checkCurrent()
-    const highest = machine.orders.findHighest(toBackendServerId(params.server))
+    const highest = machine.orders.findHighestFencing(toBackendServerId(params.server))
     sendJson(response, 200, { highest })
   }
   const serveOrder = async ({ request, response }: HttpExchange) => {
--- a/packages/control/src/server/orderRunner.ts
+++ b/packages/control/src/server/orderRunner.ts
@@ -12,13 +12,13 @@
   waitFor,
 } from '@spoolgate/core'
 import type { RaftMember } from '../raft/types.js'
-import type { ControlMachine } from '../state/controlMachine.js'
-import type { IssueResult, Order } from '../state/orderState.js'
+import type { ControlStateMachine } from '../state/controlMachine.js'
+import type { IssueOrderResult, Order } from '../state/orderState.js'
 
 /** Options of {@link createOrderRunner}. */
 export interface OrderRunnerOptions {
   readonly member: RaftMember
-  readonly machine: ControlMachine
+  readonly machine: ControlStateMachine
   readonly client: HttpClient
   readonly timers: TimerService
   readonly logger: Logger
@@ -143,7 +143,7 @@
       action: 'loadWeights',
       value: weights,
     }
-    const result = (await member.propose({ ...command, at: timers.wallNow() })) as IssueResult
+    const result = (await member.propose({ ...command, at: timers.wallNow() })) as IssueOrderResult
     if (result.kind === 'noSlot') return false
     logger.info('order.issued', {
       server: server.id,
--- a/packages/control/src/server/shareLedger.ts
+++ b/packages/control/src/server/shareLedger.ts
@@ -44,7 +44,7 @@
 }
 
 /** Life of a share, in ms: long enough for an election, short enough to follow demand. */
-export const SHARE_LIFE_MS = 5_000
+export const SHARE_TTL_MS = 5_000
 /** Demand that a router without any is presumed to have, so that its first request finds a share. */
 const MIN_DEMAND = 1
 
@@ -65,7 +65,7 @@
 export function createShareLedger(options: ShareLedgerOptions): ShareLedger {
   const { timers, invariants } = options
   const limits = new Map<string, Holders>()
-  let startsAt = timers.now() + SHARE_LIFE_MS
+  let startsAt = timers.now() + SHARE_TTL_MS
 
   const findHolders = (name: string, now: number): Holders => {
     const holders: Holders = limits.get(name) ?? new Map()
@@ -83,7 +83,7 @@
     // A router gets its part by demand, and while nobody else asks for more, what is free.
     const fair = limit * (demand / totalDemand)
     const amount = now < startsAt ? 0 : Math.min(free, Math.max(fair, Math.min(demand, free)))
-    const expiresAt = now + SHARE_LIFE_MS
+    const expiresAt = now + SHARE_TTL_MS
     holders.set(router, { amount, demand, expiresAt })
     const total = addUp(holders, (grant) => grant.amount)
     invariants.assert('limitSumKept', total <= limit + Number.EPSILON * limit * 8, () => ({
@@ -103,11 +103,11 @@
         })
         return [team, Object.fromEntries(amounts)]
       })
-      return { shares: Object.fromEntries(shares), expiresInMs: SHARE_LIFE_MS }
+      return { shares: Object.fromEntries(shares), expiresInMs: SHARE_TTL_MS }
     },
     reset: () => {
       limits.clear()
-      startsAt = timers.now() + SHARE_LIFE_MS
+      startsAt = timers.now() + SHARE_TTL_MS
     },
   }
 }
--- a/packages/control/src/state/claimState.ts
+++ b/packages/control/src/state/claimState.ts
@@ -14,7 +14,7 @@
 }
 
 /** Answer that is kept for resends. */
-export interface KeptAnswer {
+export interface StoredResponse {
   readonly status: number
   readonly contentType: string
   /** Body; base64 when `isBase64`. */
@@ -42,7 +42,7 @@
   readonly claim: string
   readonly number: number
   /** Undefined when the answer was too large to keep. */
-  readonly answer: KeptAnswer | undefined
+  readonly answer: StoredResponse | undefined
   readonly at: number
 }
 
@@ -70,15 +70,15 @@
 }
 
 /** What became of {@link OpenClaim}. */
-export type OpenResult =
+export type OpenClaimResult =
   | { readonly kind: 'granted'; readonly dispatch: ClaimedDispatch }
   | { readonly kind: 'running'; readonly dispatch: ClaimedDispatch }
-  | { readonly kind: 'finished'; readonly answer: KeptAnswer | undefined }
+  | { readonly kind: 'finished'; readonly answer: StoredResponse | undefined }
   | { readonly kind: 'conflict' }
   | { readonly kind: 'unknown' }
 
 /** What became of the other claim commands. */
-export interface SettleResult {
+export interface SettleClaimResult {
   /** False when the claim was settled otherwise before, or is not known. */
   readonly isSettled: boolean
 }
@@ -89,7 +89,7 @@
   bodyHash: string
   phase: ClaimPhase
   dispatch: ClaimedDispatch
-  answer?: KeptAnswer
+  answer?: StoredResponse
   at: number
 }
 
@@ -98,10 +98,10 @@
 
 /** All claims. */
 export interface ClaimState {
-  open(command: OpenClaim): OpenResult
-  finish(command: FinishClaim): SettleResult
-  release(command: ReleaseClaim): SettleResult
-  lose(command: LoseClaim): SettleResult
+  open(command: OpenClaim): OpenClaimResult
+  finish(command: FinishClaim): SettleClaimResult
+  release(command: ReleaseClaim): SettleClaimResult
+  lose(command: LoseClaim): SettleClaimResult
   expire(command: ExpireClaims): { readonly removed: number }
   size(): number
   save(): SavedClaims
@@ -109,13 +109,13 @@
 }
 
 /** Formats the name of a claim. */
-export function formatClaim(team: TeamId, key: string): string {
+export function formatClaimId(team: TeamId, key: string): string {
   return `${team}/${key}`
 }
 
 function createDispatch(command: OpenClaim, number: number): ClaimedDispatch {
   const { team, key, server, incarnation, request } = command
-  return { claim: formatClaim(team, key), number, server, incarnation, request }
+  return { claim: formatClaimId(team, key), number, server, incarnation, request }
 }
 
 /** Creates an empty state. */
@@ -125,8 +125,8 @@
   const settle = (
     command: FinishClaim | ReleaseClaim | LoseClaim,
     phase: ClaimPhase,
-    answer?: KeptAnswer,
-  ): SettleResult => {
+    answer?: StoredResponse,
+  ): SettleClaimResult => {
     const record = claims.get(command.claim)
     if (!record || record.dispatch.number !== command.number) return { isSettled: false }
     if (record.phase === phase) return { isSettled: true }
@@ -134,13 +134,16 @@
     Object.assign(record, { phase, answer, at: command.at })
     return { isSettled: true }
   }
-  const grant = (command: OpenClaim, number: number): OpenResult => {
+  const grant = (command: OpenClaim, number: number): OpenClaimResult => {
     const dispatch = createDispatch(command, number)
     const { bodyHash, at } = command
     claims.set(dispatch.claim, { bodyHash, phase: 'dispatched', dispatch, at })
     return { kind: 'granted', dispatch }
   }
-  const answerKnown: Record<ClaimPhase, (record: ClaimRecord, command: OpenClaim) => OpenResult> = {
+  const answerKnown: Record<
+    ClaimPhase,
+    (record: ClaimRecord, command: OpenClaim) => OpenClaimResult
+  > = {
     dispatched: ({ dispatch }, { request }) =>
       dispatch.request === request ? { kind: 'granted', dispatch } : { kind: 'running', dispatch },
     finished: ({ answer }) => ({ kind: 'finished', answer }),
@@ -150,7 +153,7 @@
 
   return {
     open: (command) => {
-      const record = claims.get(formatClaim(command.team, command.key))
+      const record = claims.get(formatClaimId(command.team, command.key))
       if (!record) return grant(command, 1)
       if (record.bodyHash !== command.bodyHash) return { kind: 'conflict' }
       return answerKnown[record.phase](record, command)
--- a/packages/control/src/state/configState.ts
+++ b/packages/control/src/state/configState.ts
@@ -2,15 +2,15 @@
 import type { FleetConfigInput } from '@spoolgate/config'
 import { removeOldest } from '@spoolgate/core'
 import {
-  compareFleets,
+  buildFleetPatch,
   hashFleet,
-  listPatchedNames,
-  toNormalForm,
+  listPatchedItems,
+  toCanonicalForm,
   type FleetPatch,
 } from './fleetPatch.js'
 
 /** Submits a configuration. */
-export interface SubmitCommand {
+export interface SubmitConfig {
   readonly kind: 'config.submit'
   /** Names the change; a resend with the same name gets the first result. */
   readonly changeId: string
@@ -23,7 +23,7 @@
 }
 
 /** What became of a submitted configuration. */
-export type SubmitResult =
+export type SubmitConfigResult =
   | { readonly kind: 'accepted'; readonly version: number; readonly touched: readonly string[] }
   | {
       readonly kind: 'conflict'
@@ -57,7 +57,7 @@
 
 interface FirstResult {
   readonly hash: string
-  readonly result: SubmitResult
+  readonly result: SubmitConfigResult
 }
 
 interface PatchRecord {
@@ -80,7 +80,7 @@
 export interface ConfigState {
   version(): number
   source(): FleetConfigInput
-  submit(command: SubmitCommand, index: number): SubmitResult
+  submit(command: SubmitConfig, index: number): SubmitConfigResult
   /** Builds what a node at `after` needs; undefined when it is up to date. */
   buildUpdate(after: number): ConfigUpdate | undefined
   history(): readonly ChangeRecord[]
@@ -102,16 +102,20 @@
 /** Creates an empty state at version 0. */
 export function createConfigState(): ConfigState {
   let version = 0
-  let source: FleetConfigInput = toNormalForm({})
+  let source: FleetConfigInput = toCanonicalForm({})
   let hash = hashFleet(source)
   let history: ChangeRecord[] = []
   let patches: PatchRecord[] = []
   const sources = new Map<number, FleetConfigInput>()
   const results = new Map<string, FirstResult>()
 
-  const accept = (command: SubmitCommand, next: FleetConfigInput, index: number): SubmitResult => {
-    const patch = compareFleets(source, next)
-    const touched = listPatchedNames(patch)
+  const accept = (
+    command: SubmitConfig,
+    next: FleetConfigInput,
+    index: number,
+  ): SubmitConfigResult => {
+    const patch = buildFleetPatch(source, next)
+    const touched = listPatchedItems(patch)
     patches = [...patches, { from: version, to: index, patch }].slice(-MAX_PATCHES)
     const { changeId, operator, at } = command
     history = [...history, { version: index, changeId, operator, at, touched }].slice(-MAX_HISTORY)
@@ -122,18 +126,18 @@
     hash = hashFleet(next)
     return { kind: 'accepted', version: index, touched }
   }
-  const refuse = (next: FleetConfigInput): SubmitResult => ({
+  const refuse = (next: FleetConfigInput): SubmitConfigResult => ({
     kind: 'conflict',
     version,
     winner: history.at(-1),
-    differs: listPatchedNames(compareFleets(next, source)),
+    differs: listPatchedItems(buildFleetPatch(next, source)),
   })
 
   return {
     version: () => version,
     source: () => source,
     submit: (command, index) => {
-      const next = toNormalForm(command.source)
+      const next = toCanonicalForm(command.source)
       const nextHash = hashFleet(next)
       const first = results.get(command.changeId)
       if (first) {
--- a/packages/control/src/state/controlMachine.ts
+++ b/packages/control/src/state/controlMachine.ts
@@ -11,30 +11,30 @@
   type FinishClaim,
   type LoseClaim,
   type OpenClaim,
-  type OpenResult,
+  type OpenClaimResult,
   type ReleaseClaim,
   type SavedClaims,
-  type SettleResult,
+  type SettleClaimResult,
 } from './claimState.js'
 import {
   createConfigState,
   type ConfigState,
   type SavedConfig,
-  type SubmitCommand,
-  type SubmitResult,
+  type SubmitConfig,
+  type SubmitConfigResult,
 } from './configState.js'
 import {
-  createLoadState,
-  type BeginLoad,
-  type EndLoad,
-  type LoadState,
-  type SavedLoads,
-} from './loadState.js'
+  createWeightLoadState,
+  type BeginWeightLoad,
+  type EndWeightLoad,
+  type WeightLoadState,
+  type SavedWeightLoads,
+} from './weightLoadState.js'
 import {
   createOrderState,
   type FinishOrder,
   type IssueOrder,
-  type IssueResult,
+  type IssueOrderResult,
   type OrderState,
   type SavedOrders,
 } from './orderState.js'
@@ -62,29 +62,29 @@
 } from './tableState.js'
 import {
   createWeightsState,
-  type NameWeights,
-  type NameWeightsResult,
+  type SetWeightsVersion,
+  type SetWeightsVersionResult,
   type WeightsState,
 } from './weightsState.js'
 
 /** Commands by kind, each with its result. */
 export interface ControlCommands {
-  'config.submit': { command: SubmitCommand; result: SubmitResult }
-  'claim.open': { command: OpenClaim; result: OpenResult }
-  'claim.finish': { command: FinishClaim; result: SettleResult }
-  'claim.release': { command: ReleaseClaim; result: SettleResult }
-  'claim.lose': { command: LoseClaim; result: SettleResult }
+  'config.submit': { command: SubmitConfig; result: SubmitConfigResult }
+  'claim.open': { command: OpenClaim; result: OpenClaimResult }
+  'claim.finish': { command: FinishClaim; result: SettleClaimResult }
+  'claim.release': { command: ReleaseClaim; result: SettleClaimResult }
+  'claim.lose': { command: LoseClaim; result: SettleClaimResult }
   'claim.expire': { command: ExpireClaims; result: { readonly removed: number } }
-  'order.issue': { command: IssueOrder; result: IssueResult }
+  'order.issue': { command: IssueOrder; result: IssueOrderResult }
   'order.finish': { command: FinishOrder; result: { readonly isKnown: boolean } }
   'table.put': { command: PutTable; result: PutTableResult }
-  'weights.name': { command: NameWeights; result: NameWeightsResult }
+  'weights.name': { command: SetWeightsVersion; result: SetWeightsVersionResult }
   'server.observe': { command: ObserveServer; result: ServerResult }
   'server.retire': { command: RetireServer; result: ServerResult }
   'request.quarantine': { command: QuarantineRequest; result: null }
   'request.release': { command: ReleaseRequest; result: null }
-  'load.begin': { command: BeginLoad; result: null }
-  'load.end': { command: EndLoad; result: null }
+  'load.begin': { command: BeginWeightLoad; result: null }
+  'load.end': { command: EndWeightLoad; result: null }
 }
 
 /** Kind of a command. */
@@ -95,16 +95,16 @@
 export type ControlResult<Kind extends ControlCommandKind> = ControlCommands[Kind]['result']
 
 /** The machine with its parts. */
-export interface ControlMachine extends ReplicatedMachine {
+export interface ControlStateMachine extends ReplicatedMachine {
   readonly config: ConfigState
   readonly claims: ClaimState
   readonly orders: OrderState
   /** Emits the version after each accepted configuration. */
-  readonly versions: Observable<number>
+  readonly configVersions: Observable<number>
   readonly table: TableState
   readonly weights: WeightsState
   readonly servers: ServerState
-  readonly loads: LoadState
+  readonly weightLoads: WeightLoadState
   readonly quarantine: QuarantineState
   /** Emits after each command that changed the table, the weights, the servers or the requests in quarantine. */
   readonly fleetChanges: Observable<void>
@@ -119,7 +119,7 @@
   readonly weights?: Readonly<Record<string, number>>
   readonly servers?: SavedServers
   /** Missing in snapshots of versions before 0.3. */
-  readonly loads?: SavedLoads
+  readonly loads?: SavedWeightLoads
   /** Missing in snapshots of versions before 0.5. */
   readonly quarantine?: readonly SuspectedRequest[]
 }
@@ -132,7 +132,7 @@
 }
 
 /** Creates an empty machine. */
-export function createControlMachine(): ControlMachine {
+export function createControlStateMachine(): ControlStateMachine {
   const config = createConfigState()
   const claims = createClaimState()
   const orders = createOrderState()
@@ -140,7 +140,7 @@
   const table = createTableState()
   const weights = createWeightsState()
   const servers = createServerState()
-  const loads = createLoadState()
+  const loads = createWeightLoadState()
   const quarantine = createQuarantineState()
   const fleetChanges = new Subject<void>()
   const announce = <T>(result: T): T => {
@@ -161,7 +161,7 @@
     'order.issue': orders.issue,
     'order.finish': orders.finish,
     'table.put': (command) => announce(table.put(command)),
-    'weights.name': (command) => announce(weights.name(command)),
+    'weights.name': (command) => announce(weights.raiseVersion(command)),
     'server.observe': (command) => announce(servers.observe(command)),
     'server.retire': (command) => announce(servers.retire(command)),
     'request.quarantine': (command) => announce(quarantine.quarantine(command)),
@@ -173,11 +173,11 @@
     config,
     claims,
     orders,
-    versions,
+    configVersions: versions,
     table,
     weights,
     servers,
-    loads,
+    weightLoads: loads,
     quarantine,
     fleetChanges,
     apply: (command, index) => {
--- a/packages/control/src/state/fleetPatch.ts
+++ b/packages/control/src/state/fleetPatch.ts
@@ -31,7 +31,7 @@
 }
 
 /** Brings a configuration into one order, so that equal content has equal text. */
-export function toNormalForm(config: FleetConfigInput): FleetConfigInput {
+export function toCanonicalForm(config: FleetConfigInput): FleetConfigInput {
   const lists = LISTS.map((name) => {
     const items = [...listItems(config, name)].sort((a, b) => (a.id < b.id ? -1 : 1))
     return [name, items]
@@ -57,7 +57,7 @@
 }
 
 /** Compares two configurations in normal form. */
-export function compareFleets(before: FleetConfigInput, after: FleetConfigInput): FleetPatch {
+export function buildFleetPatch(before: FleetConfigInput, after: FleetConfigInput): FleetPatch {
   const patch: Record<string, unknown> = {}
   for (const name of LISTS) {
     const changed = compareLists(listItems(before, name), listItems(after, name))
@@ -70,7 +70,7 @@
 }
 
 /** Applies a patch to a configuration in normal form. */
-export function applyPatch(config: FleetConfigInput, patch: FleetPatch): FleetConfigInput {
+export function applyFleetPatch(config: FleetConfigInput, patch: FleetPatch): FleetConfigInput {
   const next: Record<string, unknown> = { ...config }
   for (const name of LISTS) {
     const changed = patch[name]
@@ -87,11 +87,11 @@
     if (patch[name] === null) delete next[name]
     else next[name] = patch[name]
   }
-  return toNormalForm(next as FleetConfigInput)
+  return toCanonicalForm(next as FleetConfigInput)
 }
 
 /** Lists what a patch touches, as `section/id`. */
-export function listPatchedNames(patch: FleetPatch): string[] {
+export function listPatchedItems(patch: FleetPatch): string[] {
   const items = LISTS.flatMap((name) => Object.keys(patch[name] ?? {}).map((id) => `${name}/${id}`))
   return [...items, ...WHOLES.filter((name) => name in patch)]
 }
--- a/packages/control/src/state/orderState.ts
+++ b/packages/control/src/state/orderState.ts
@@ -35,7 +35,7 @@
 }
 
 /** What became of {@link IssueOrder}. */
-export type IssueResult =
+export type IssueOrderResult =
   | { readonly kind: 'issued'; readonly order: Order }
   | { readonly kind: 'noSlot'; readonly held: readonly BackendServerId[] }
 
@@ -47,17 +47,17 @@
 
 /** All open orders and the highest fencing number of each backend server. */
 export interface OrderState {
-  issue(command: IssueOrder, index: number): IssueResult
+  issue(command: IssueOrder, index: number): IssueOrderResult
   finish(command: FinishOrder): { readonly isKnown: boolean }
   /** Highest fencing number that was ever issued to a backend server. */
-  findHighest(server: BackendServerId): number
+  findHighestFencing(server: BackendServerId): number
   open(): readonly Order[]
   save(): SavedOrders
   load(saved: SavedOrders): void
 }
 
 /** Weight loads at a time: the platform slows down beyond this. */
-export const MAX_LOADS = 2
+export const MAX_CONCURRENT_WEIGHT_LOADS = 2
 
 /** Creates an empty state. */
 export function createOrderState(): OrderState {
@@ -72,7 +72,8 @@
   return {
     issue: ({ server, action, value, at }, index) => {
       const held = listLoading(server)
-      if (action === 'loadWeights' && held.length >= MAX_LOADS) return { kind: 'noSlot', held }
+      if (action === 'loadWeights' && held.length >= MAX_CONCURRENT_WEIGHT_LOADS)
+        return { kind: 'noSlot', held }
       const order: Order = { server, action, value, fencing: index, at }
       open.set(server, order)
       highest.set(server, index)
@@ -83,7 +84,7 @@
       open.delete(server)
       return { isKnown: true }
     },
-    findHighest: (server) => highest.get(server) ?? 0,
+    findHighestFencing: (server) => highest.get(server) ?? 0,
     open: () => [...open.values()],
     save: () => ({ open: [...open.values()], highest: [...highest] }),
     load: (saved) => {
--- a/packages/control/src/state/quarantineState.ts
+++ b/packages/control/src/state/quarantineState.ts
@@ -33,11 +33,11 @@
  * Requests that are kept: of each caller, and callers. A caller's servers have ended 192 times by then. All together take 1.5 MB
  * in a snapshot at 48 bytes each, a fortieth of the users' disks.
  */
-export const QUARANTINE_BOUNDS = { maxPerCaller: 64, maxCallers: 512 }
+export const QUARANTINE_CAPACITY = { maxPerCaller: 64, maxCallers: 512 }
 
 /** Creates a state without requests. */
 export function createQuarantineState(): QuarantineState {
-  const held = createFingerprintMap<SuspectedRequest>(QUARANTINE_BOUNDS)
+  const held = createFingerprintMap<SuspectedRequest>(QUARANTINE_CAPACITY)
   let revision = 0
   const list = () => held.list().map(([, suspect]) => suspect)
   return {
--- a/packages/control/src/state/serverState.ts
+++ b/packages/control/src/state/serverState.ts
@@ -13,7 +13,7 @@
 export type ServerPhase = 'ready' | 'draining' | 'gone'
 
 /** Weights that a backend server holds. */
-export interface HeldWeights {
+export interface LoadedWeights {
   readonly model: string
   readonly version: number
 }
@@ -37,7 +37,7 @@
   readonly phase: ServerPhase
   /** Requests that it works on at a time. */
   readonly slots: number
-  readonly weights: readonly HeldWeights[]
+  readonly weights: readonly LoadedWeights[]
 }
 
 /** Records what a heartbeat says of a server. */
@@ -75,7 +75,7 @@
   findByName(name: ServerName): RegisteredServer | undefined
   list(): readonly RegisteredServer[]
   /** Whether an incarnation is over: it has left, or its server has started again. It never returns. */
-  isOver(identity: ServerIdentity): boolean
+  isIncarnationEnded(identity: ServerIdentity): boolean
   /** Rises with each change. */
   revision(): number
   observe(command: ObserveServer): ServerResult
@@ -104,7 +104,7 @@
 }
 
 /** Whether it is known when a server started. */
-export function isStartKnown({ startedAt }: ServerIdentity): boolean {
+export function isStartTimeKnown({ startedAt }: ServerIdentity): boolean {
   return startedAt !== UNKNOWN_START
 }
 
@@ -129,8 +129,8 @@
   return { ...server, weights, phase: chooseLater(server.phase, known.phase) }
 }
 
-function isSameWeights(a: readonly HeldWeights[], b: readonly HeldWeights[]): boolean {
-  const isSame = ({ model, version }: HeldWeights, index: number) =>
+function isSameWeights(a: readonly LoadedWeights[], b: readonly LoadedWeights[]): boolean {
+  const isSame = ({ model, version }: LoadedWeights, index: number) =>
     b[index].model === model && b[index].version === version
   return a.length === b.length && a.every(isSame)
 }
@@ -139,7 +139,7 @@
  * Whether two heartbeats of one incarnation say the same. Compared field by field, since their texts may differ in the
  * order of fields.
  */
-export function isSameServer(a: RegisteredServer, b: RegisteredServer): boolean {
+export function isSameRegistration(a: RegisteredServer, b: RegisteredServer): boolean {
   return (
     a.id === b.id &&
     a.group === b.group &&
@@ -184,7 +184,7 @@
     find: (id) => servers.get(id),
     findByName,
     list: () => [...servers.values()],
-    isOver,
+    isIncarnationEnded: isOver,
     revision: () => revision,
     observe: ({ server: saved }) => {
       const server = toRegisteredServer(saved)
--- a/packages/control/src/state/tableState.ts
+++ b/packages/control/src/state/tableState.ts
@@ -6,22 +6,22 @@
   applyTableUpdate,
   buildTableUpdate,
   NO_TABLE_VERSION,
-  type HeldTable,
+  type VersionedTable,
   type TableUpdate,
 } from '../table/tableUpdate.js'
 
 /** Puts a routing table. The document was checked before it was proposed. */
-export type PutTable = PutUpdate | PutDocument
+export type PutTable = PutTableUpdate | PutTableDocument
 
 /** As it is proposed: what changes against the version that is held where the entry is applied. */
-export interface PutUpdate {
+export interface PutTableUpdate {
   readonly kind: 'table.put'
   readonly version: number
   readonly update: TableUpdate
 }
 
 /** As logs of versions before 0.4 hold it. */
-export interface PutDocument {
+export interface PutTableDocument {
   readonly kind: 'table.put'
   readonly version: number
   readonly document: string
@@ -41,18 +41,18 @@
 }
 
 /** The table as a snapshot holds it; before version 0.4 it was the document itself. */
-export type SavedTable = TableUpdate | HeldTable
+export type SavedTable = TableUpdate | VersionedTable
 
 /** The table held. */
 export interface TableState {
   /** Undefined before the first. */
-  current(): HeldTable | undefined
+  current(): VersionedTable | undefined
   put(command: PutTable): PutTableResult
   save(): SavedTable | null
   load(saved: SavedTable | null): void
 }
 
-function toHeldTable(saved: SavedTable): HeldTable {
+function toHeldTable(saved: SavedTable): VersionedTable {
   if ('document' in saved) return saved
   const held = applyTableUpdate(undefined, saved)
   if (held) return held
@@ -62,9 +62,9 @@
 
 /** Creates a state without a table. */
 export function createTableState(): TableState {
-  let held: HeldTable | undefined
+  let held: VersionedTable | undefined
 
-  const findNext = (command: PutTable): HeldTable | undefined => {
+  const findNext = (command: PutTable): VersionedTable | undefined => {
     if ('update' in command) return applyTableUpdate(held, command.update)
     return { version: command.version, document: command.document }
   }
--- a/packages/control/src/state/loadState.ts
+++ b/packages/control/src/state/weightLoadState.ts
@@ -8,44 +8,44 @@
 import { Subject, type Observable } from 'rxjs'
 
 /** Notes that a leader is about to order an engine to load weights. */
-export interface BeginLoad {
+export interface BeginWeightLoad {
   readonly kind: 'load.begin'
   readonly server: ServerName
 }
 
 /** Notes that the leader will send the engine no more orders, and that all were answered. */
-export interface EndLoad {
+export interface EndWeightLoad {
   readonly kind: 'load.end'
   readonly server: ServerName
 }
 
 /** How far the last load of an engine has come. */
-export type LoadMark = 'open' | 'ended'
+export type WeightLoadStatus = 'open' | 'ended'
 
 /** State as a snapshot holds it. */
-export type SavedLoads = readonly (readonly [ServerName, LoadMark])[]
+export type SavedWeightLoads = readonly (readonly [ServerName, WeightLoadStatus])[]
 
 /** Loads of weights by engine. */
-export interface LoadState {
+export interface WeightLoadState {
   /** Finds the mark of an engine; undefined where nobody ever ordered it to load. */
-  find(server: ServerName): LoadMark | undefined
-  list(): SavedLoads
+  find(server: ServerName): WeightLoadStatus | undefined
+  list(): SavedWeightLoads
   /** Emits the engine of each mark that is set. */
   readonly changes: Observable<ServerName>
-  begin(command: BeginLoad): null
-  end(command: EndLoad): null
-  save(): SavedLoads
-  load(saved: SavedLoads): void
+  begin(command: BeginWeightLoad): null
+  end(command: EndWeightLoad): null
+  save(): SavedWeightLoads
+  load(saved: SavedWeightLoads): void
 }
 
 /** Engines whose marks are kept, the newest: several times those of a large fleet. */
 const MAX_MARKS = 2_000
 
 /** Creates a state without loads. */
-export function createLoadState(): LoadState {
-  const marks = new Map<ServerName, LoadMark>()
+export function createWeightLoadState(): WeightLoadState {
+  const marks = new Map<ServerName, WeightLoadStatus>()
   const changes = new Subject<ServerName>()
-  const setMark = (server: ServerName, mark: LoadMark) => {
+  const setMark = (server: ServerName, mark: WeightLoadStatus) => {
     marks.delete(server)
     marks.set(server, mark)
     removeOldest(marks, MAX_MARKS)
--- a/packages/control/src/state/weightsState.ts
+++ b/packages/control/src/state/weightsState.ts
@@ -1,14 +1,14 @@
 /** The part of the replicated state that holds the wanted weights version of each model. */
 
 /** Names the weights version that a model should have. */
-export interface NameWeights {
+export interface SetWeightsVersion {
   readonly kind: 'weights.name'
   readonly model: string
   readonly version: number
 }
 
-/** What became of {@link NameWeights}. */
-export interface NameWeightsResult {
+/** What became of {@link SetWeightsVersion}. */
+export interface SetWeightsVersionResult {
   /** Version wanted afterwards; versions only rise. */
   readonly version: number
 }
@@ -17,7 +17,7 @@
 export interface WeightsState {
   find(model: string): number | undefined
   list(): Readonly<Record<string, number>>
-  name(command: NameWeights): NameWeightsResult
+  raiseVersion(command: SetWeightsVersion): SetWeightsVersionResult
   save(): Readonly<Record<string, number>>
   load(saved: Readonly<Record<string, number>>): void
 }
@@ -28,7 +28,7 @@
   return {
     find: (model) => wanted.get(model),
     list: () => Object.fromEntries(wanted),
-    name: ({ model, version }) => {
+    raiseVersion: ({ model, version }) => {
       const highest = Math.max(version, wanted.get(model) ?? version)
       wanted.set(model, highest)
       return { version: highest }
--- a/packages/control/src/table/tableHistory.ts
+++ b/packages/control/src/table/tableHistory.ts
@@ -3,12 +3,12 @@
  * An update is built once, however many routers ask for it; versions between are skipped.
  */
 import type { Observable } from 'rxjs'
-import { buildTableUpdate, type HeldTable, type TableUpdate } from './tableUpdate.js'
+import { buildTableUpdate, type VersionedTable, type TableUpdate } from './tableUpdate.js'
 
 /** Options of {@link createTableHistory}. */
 export interface TableHistoryOptions {
   /** The newest table; undefined before the first. */
-  readonly current: () => HeldTable | undefined
+  readonly current: () => VersionedTable | undefined
   /** Emits after each change of the table, and at times without one. */
   readonly changes: Observable<unknown>
 }
@@ -33,7 +33,7 @@
 /** Creates a history that begins with the version held now. */
 export function createTableHistory({ current, changes }: TableHistoryOptions): TableHistory {
   /** Versions by number, the oldest first; the last is the newest. */
-  const versions = new Map<number, HeldTable>()
+  const versions = new Map<number, VersionedTable>()
   /** By the version that each is applied to; undefined for the whole table. */
   const updates = new Map<number | undefined, TableUpdate>()
 
--- a/packages/control/src/table/tableUpdate.ts
+++ b/packages/control/src/table/tableUpdate.ts
@@ -10,7 +10,7 @@
 import { applyTextPatch, buildTextPatch, type TextPatch } from './textPatch.js'
 
 /** A version with its document. */
-export interface HeldTable {
+export interface VersionedTable {
   readonly version: number
   readonly document: string
 }
@@ -54,7 +54,10 @@
 }
 
 /** Builds the update to a version, from `before` where that is given. */
-export function buildTableUpdate(before: HeldTable | undefined, after: HeldTable): TableUpdate {
+export function buildTableUpdate(
+  before: VersionedTable | undefined,
+  after: VersionedTable,
+): TableUpdate {
   const { version, document } = after
   return {
     version,
@@ -69,9 +72,9 @@
  * Then the whole table must be asked for.
  */
 export function applyTableUpdate(
-  held: HeldTable | undefined,
+  held: VersionedTable | undefined,
   update: TableUpdate,
-): HeldTable | undefined {
+): VersionedTable | undefined {
   const { version, base, packed, digest } = update
   if (base !== null && base !== held?.version) return undefined
   try {
--- a/packages/router/src/__tests__/quarantineSimulation.ts
+++ b/packages/router/src/__tests__/quarantineSimulation.ts
@@ -5,7 +5,7 @@
 import {
   createCrashReportBuffer,
   createQuarantineCoordinator,
-  createControlMachine,
+  createControlStateMachine,
   type SuspectedRequest,
 } from '@spoolgate/control'
 import {
@@ -114,7 +114,7 @@
   const timers = createManualTimerService()
   const random = createRandomSource(options.seed)
   const logger = createQuietLogger()
-  const machine = createControlMachine()
+  const machine = createControlStateMachine()
   let term = 1
   let crashes = 0
   const after = (ms: number, run: () => void) => void timers.after(ms).subscribe(run)
--- a/packages/router/src/relay/declines.ts
+++ b/packages/router/src/relay/declines.ts
@@ -40,7 +40,7 @@
     reason: decline.declined,
   })
   if (decline.declined === 'olderConfiguration') {
-    parts.config.noteVersion(hints.configVersion, server.sidecarUrl)
+    parts.config.observeVersion(hints.configVersion, server.sidecarUrl)
     const isCaughtUp = await parts.config.waitForVersion(hints.configVersion, CONFIG_WAIT_MS)
     if (isCaughtUp) return
   }
--- a/packages/router/src/relay/keptAnswer.ts
+++ b/packages/router/src/relay/keptAnswer.ts
@@ -1,12 +1,12 @@
 /** Answers of unrepeatable requests as claims keep them for resends. */
-import type { KeptAnswer } from '@spoolgate/control'
+import type { StoredResponse } from '@spoolgate/control'
 import type { WholeAnswer } from './sinks.js'
 
 /** Largest answer that is kept, in bytes. */
 const MAX_KEPT_BYTES = 256 * 1024
 
 /** Prepares an answer for keeping; undefined when it is too large. */
-export function toKeptAnswer(answer: WholeAnswer): KeptAnswer | undefined {
+export function toKeptAnswer(answer: WholeAnswer): StoredResponse | undefined {
   if (answer.body.length > MAX_KEPT_BYTES) return undefined
   const text = answer.body.toString('utf8')
   const isBase64 = !Buffer.from(text, 'utf8').equals(answer.body)
@@ -15,7 +15,7 @@
 }
 
 /** Reads a kept answer. */
-export function parseKeptAnswer(kept: KeptAnswer): WholeAnswer {
+export function parseKeptAnswer(kept: StoredResponse): WholeAnswer {
   const body = Buffer.from(kept.body, kept.isBase64 ? 'base64' : 'utf8')
   return { head: { status: kept.status, contentType: kept.contentType }, body }
 }
--- a/packages/router/src/relay/relayOnce.ts
+++ b/packages/router/src/relay/relayOnce.ts
@@ -5,7 +5,7 @@
  */
 import { createHash } from 'node:crypto'
 import type { BackendServer, Fleet } from '@spoolgate/config'
-import type { ClaimedDispatch, OpenResult } from '@spoolgate/control'
+import type { ClaimedDispatch, OpenClaimResult } from '@spoolgate/control'
 import {
   SpoolgateError,
   toSpoolgateError,
@@ -75,7 +75,7 @@
   state: OnceState,
   server: BackendServerId,
   incarnation: Incarnation,
-): Promise<OpenResult> {
+): Promise<OpenClaimResult> {
   const { team, request } = context
   const { key, bodyHash } = state
   try {
@@ -197,7 +197,7 @@
   state: OnceState,
   fleet: Fleet,
   server: BackendServer,
-  opened: OpenResult,
+  opened: OpenClaimResult,
 ): Promise<WholeAnswer | undefined> {
   switch (opened.kind) {
     case 'granted': {
--- a/packages/spoolgate/src/node/bench/controlBench.ts
+++ b/packages/spoolgate/src/node/bench/controlBench.ts
@@ -7,10 +7,10 @@
 import { join } from 'node:path'
 import {
   createConfigFollower,
-  createControl,
+  createControlServer,
   createControlClient,
   type ConfigFollower,
-  type Control,
+  type ControlServer,
 } from '@spoolgate/control'
 import {
   createHttpClient,
@@ -84,7 +84,7 @@
 const timers = createTimerService()
 
 interface Group {
-  readonly controls: readonly Control[]
+  readonly controls: readonly ControlServer[]
   readonly urls: readonly string[]
   close(): Promise<void>
 }
@@ -98,7 +98,7 @@
   )
   const controls = await Promise.all(
     names.map((member, index) =>
-      createControl({
+      createControlServer({
         member,
         founders,
         isFounding: true,
@@ -179,7 +179,7 @@
   return Math.round((countFollowerBytes(group) - before) / beats)
 }
 
-function countTraffic(controls: readonly Control[]): number {
+function countTraffic(controls: readonly ControlServer[]): number {
   return controls.reduce((sum, control) => {
     const { received, sent } = control.traffic()
     return sum + received + sent
@@ -257,7 +257,7 @@
 async function measureRestart(changes: number): Promise<RestartFigures> {
   const dataFolder = mkdtempSync(join(tmpdir(), 'spoolgate-restart-'))
   const start = () =>
-    createControl({
+    createControlServer({
       member: 'c',
       isFounding: true,
       host: HOST,
@@ -269,7 +269,7 @@
       timers,
       electionMs: 200,
     })
-  const waitUntilReady = async (control: Control) => {
+  const waitUntilReady = async (control: ControlServer) => {
     while (control.member.status().role !== 'leader') {
       await new Promise((resolve) => setImmediate(resolve))
     }
--- a/packages/spoolgate/src/node/bench/overheadBench.ts
+++ b/packages/spoolgate/src/node/bench/overheadBench.ts
@@ -5,7 +5,7 @@
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
-import { createControl } from '@spoolgate/control'
+import { createControlServer } from '@spoolgate/control'
 import {
   createHttpClient,
   createQuietLogger,
@@ -92,7 +92,7 @@
 async function startFleet(timers: TimerService, client: HttpClient): Promise<BenchFleet> {
   const logger = createQuietLogger()
   const folder = mkdtempSync(join(tmpdir(), 'spoolgate-bench-'))
-  const control = await createControl({
+  const control = await createControlServer({
     member: 'c',
     isFounding: true,
     host: HOST,
--- a/packages/spoolgate/src/node/cli/daemonCommands.ts
+++ b/packages/spoolgate/src/node/cli/daemonCommands.ts
@@ -1,5 +1,5 @@
 /** Commands that run one daemon until it is stopped. */
-import { createControl } from '@spoolgate/control'
+import { createControlServer } from '@spoolgate/control'
 import { createRouter } from '@spoolgate/router'
 import { createSidecar } from '@spoolgate/sidecar'
 import { command, flag, positional, string } from 'cmd-ts'
@@ -77,7 +77,7 @@
   },
   handler: async (args) => {
     const settings = loadRole(args.file, 'control')
-    const control = await createControl({
+    const control = await createControlServer({
       member: settings.member,
       founders: settings.members,
       isFounding: args.isFounding,
--- a/packages/spoolgate/src/node/cli/operatorCommands.ts
+++ b/packages/spoolgate/src/node/cli/operatorCommands.ts
@@ -12,7 +12,7 @@
   type MemberChange,
   type NodeVersion,
   type RaftStatus,
-  type SubmitResult,
+  type SubmitConfigResult,
 } from '@spoolgate/control'
 import {
   createHttpClient,
@@ -88,7 +88,7 @@
   printLine(`change ${changeId}: repeat it with --change ${changeId} if the answer is lost`)
   const { base, name } = args
   const json = { changeId, base, operator: name, source }
-  const result = await operator.control.request<SubmitResult>('POST', '/config', json)
+  const result = await operator.control.request<SubmitConfigResult>('POST', '/config', json)
   if (result.kind === 'accepted') {
     printLine(
       `accepted as version ${result.version}: ${result.touched.join(', ') || 'no difference'}`,
--- a/packages/spoolgate/src/node/local/localFleet.ts
+++ b/packages/spoolgate/src/node/local/localFleet.ts
@@ -3,7 +3,7 @@
  * them. `spoolgate dev`, the load tool, benchmarks, soak runs and tests are built on it.
  */
 import type { FleetConfigInput } from '@spoolgate/config'
-import { createControl, type Control, type DataFolder } from '@spoolgate/control'
+import { createControlServer, type ControlServer, type DataFolder } from '@spoolgate/control'
 import {
   createHttpClient,
   createTimerService,
@@ -73,7 +73,7 @@
   readonly client: HttpClient
   readonly processKey: string
   readonly operatorKey: string
-  readonly controls: (Control | undefined)[]
+  readonly controls: (ControlServer | undefined)[]
   readonly routers: (Router | undefined)[]
   readonly sidecars: (Sidecar | undefined)[]
   readonly engines: readonly Engine[]
@@ -89,7 +89,7 @@
   submit(config: FleetConfigInput, changeId: string): Promise<number>
   startRouter(index: number): Promise<Router>
   startSidecar(index: number): Promise<Sidecar>
-  startControl(index: number): Promise<Control>
+  startControl(index: number): Promise<ControlServer>
   close(): Promise<void>
 }
 
@@ -280,7 +280,7 @@
       return fleet.sidecars[index]
     },
     startControl: async (index) => {
-      fleet.controls[index] = await createControl({
+      fleet.controls[index] = await createControlServer({
         member: `control-${index}`,
         founders: Object.fromEntries(controlUrls.map((url, i) => [`control-${i}`, url])),
         isFounding: true,
