--- a/packages/control/src/__tests__/groupModel.ts
+++ b/packages/control/src/__tests__/groupModel.ts
@@ -4,7 +4,7 @@
  */
 import { createRandomSource, type RandomSource } from '@spoolgate/core'
 import { createTestGroup, ELECTION_MS, type TestGroup, type TestMember } from './group.js'
-import { createGroupSteps, type GroupSteps } from './groupSteps.js'
+import { createMembershipDriver, type MembershipDriver } from './groupSteps.js'
 import type { MemberMap } from '../raft/messages.js'
 import type { MemoryFolder } from './memoryFolder.js'
 
@@ -68,7 +68,7 @@
     readonly seed: number,
     readonly random: RandomSource,
     readonly group: TestGroup,
-    readonly steps: GroupSteps,
+    readonly steps: MembershipDriver,
     /** Disks that may be lost at once. */
     readonly borne: number,
     /** Of these, machines that may be gone for good. */
@@ -347,7 +347,7 @@
   const voters = Math.min(founders, wantedVoters)
   const names = Array.from({ length: founders }, (_, index) => `m${index}`)
   const group = await createTestGroup(names, seed, 8 + random.nextInt(40))
-  const steps = createGroupSteps({ group, targetVoters: wantedVoters })
+  const steps = createMembershipDriver({ group, targetVoters: wantedVoters })
   const borne = Math.min(losses, Math.floor(voters / 2))
   const borneAway = Math.min(losses, Math.floor((voters - 1) / 2))
   const life = new Life(seed, random, group, steps, borne, borneAway)
--- a/packages/control/src/__tests__/groupPlan.spec.ts
+++ b/packages/control/src/__tests__/groupPlan.spec.ts
@@ -9,7 +9,7 @@
 } from '../group/groupPlan.js'
 import type { MemberMap } from '../raft/messages.js'
 
-const WELL: MemberHealth = { silentMs: 0, isCaughtUp: true }
+const HEALTHY: MemberHealth = { silentMs: 0, isCaughtUp: true }
 const AWAY: MemberHealth = { silentMs: SHRINK_AFTER_MS + 1, isCaughtUp: true }
 const SILENT: MemberHealth = { silentMs: REPLACE_AFTER_MS + 1, isCaughtUp: true }
 
@@ -29,7 +29,7 @@
     members: buildMembers(kinds),
     joinRequests: [],
     targetVoters: 3,
-    findHealth: (name) => views[name] ?? WELL,
+    findHealth: (name) => views[name] ?? HEALTHY,
     ...change,
   }
 }
--- a/packages/control/src/__tests__/groupSteps.ts
+++ b/packages/control/src/__tests__/groupSteps.ts
@@ -2,15 +2,15 @@
 import { findMembershipStep, type MembershipPlanInput } from '../group/groupPlan.js'
 import type { TestGroup, TestMember } from './group.js'
 
-/** Options of {@link createGroupSteps}. */
-export interface GroupStepsOptions {
+/** Options of {@link createMembershipDriver}. */
+export interface MembershipDriverOptions {
   readonly group: TestGroup
   /** Voters that the group should have. */
   readonly targetVoters: number
 }
 
-/** See {@link createGroupSteps}. */
-export interface GroupSteps {
+/** See {@link createMembershipDriver}. */
+export interface MembershipDriver {
   /** Lets whoever leads change its group by the next step, if one is due. */
   apply(): void
 }
@@ -22,9 +22,9 @@
 }
 
 /** Creates the driver; instances that run and are no members ask to be taken in. */
-export function createGroupSteps(options: GroupStepsOptions): GroupSteps {
+export function createMembershipDriver(options: MembershipDriverOptions): MembershipDriver {
   const { group, targetVoters: wantedVoters } = options
-  const led = new Map<string, { readonly term: number; readonly since: number }>()
+  const leaderships = new Map<string, { readonly term: number; readonly since: number }>()
 
   const buildInput = (leader: TestMember, since: number): MembershipPlanInput => {
     const { members, commitIndex } = leader.member.status()
@@ -50,9 +50,9 @@
       const leader = group.leader()
       if (!leader) return
       const { term } = leader.member.status()
-      const known = led.get(leader.name)
+      const known = leaderships.get(leader.name)
       const since = known?.term === term ? known.since : leader.timers.now()
-      led.set(leader.name, { term, since })
+      leaderships.set(leader.name, { term, since })
       const step = findMembershipStep(buildInput(leader, since))
       // Refused while another change is in progress, and not known when leadership is lost.
       if (step) leader.member.changeMembers(step.members).catch(() => {})
--- a/packages/control/src/__tests__/lossesBorne.spec.ts
+++ b/packages/control/src/__tests__/lossesBorne.spec.ts
@@ -5,14 +5,14 @@
 import { expect } from 'chai'
 import { REPLACE_AFTER_MS, SHRINK_AFTER_MS } from '../group/groupPlan.js'
 import { createTestGroup, ELECTION_MS, type TestGroup, type TestMember } from './group.js'
-import { createGroupSteps } from './groupSteps.js'
+import { createMembershipDriver } from './groupSteps.js'
 
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f', 'g']
 /** Election timeouts after which a group that has elected nobody will not do so. */
-const NOBODY_TIMEOUTS = 20
+const ELECTION_FAILED_TIMEOUTS = 20
 
 /** Builds a command that leaves a trace in the state: a table version. */
-function buildTable(version: number) {
+function buildTableCommand(version: number) {
   return { kind: 'table.put', version, document: '{}' }
 }
 
@@ -29,12 +29,12 @@
   for (let lost = 0; lost <= names.length; lost += 1) {
     for (let away = 0; away <= names.length - lost; away += 1) {
       const from = found.length % names.length
-      const turned = [...names.slice(from), ...names.slice(0, from)]
+      const rotated = [...names.slice(from), ...names.slice(0, from)]
       const down = Math.ceil(away / 2)
       found.push({
-        lost: turned.slice(0, lost),
-        down: turned.slice(lost, lost + down),
-        cutOff: turned.slice(lost + down, lost + away),
+        lost: rotated.slice(0, lost),
+        down: rotated.slice(lost, lost + down),
+        cutOff: rotated.slice(lost + down, lost + away),
       })
     }
   }
@@ -42,7 +42,7 @@
 }
 
 /** Whether the voters that are left may elect. */
-function isBorne(voters: number, { lost, down, cutOff }: Losses): boolean {
+function isTolerated(voters: number, { lost, down, cutOff }: Losses): boolean {
   const gone = lost.length + down.length + cutOff.length
   const isHalfEnough = voters % 2 === 0 && lost.length > 0
   return gone <= (isHalfEnough ? voters / 2 : (voters - 1) / 2)
@@ -70,14 +70,14 @@
       const names = NAMES.slice(0, voters)
       for (const [index, losses] of listLosses(names).entries()) {
         const group = await createTestGroup(names, index + 1)
-        await group.propose(await group.findLeader(), buildTable(7))
+        await group.propose(await group.findLeader(), buildTableCommand(7))
         await applyLosses(group, names, losses)
         const what = JSON.stringify(losses)
-        await group.run(ELECTION_MS * NOBODY_TIMEOUTS)
+        await group.run(ELECTION_MS * ELECTION_FAILED_TIMEOUTS)
         const leader = group.leader()
-        expect(leader !== undefined, what).to.equal(isBorne(voters, losses))
+        expect(leader !== undefined, what).to.equal(isTolerated(voters, losses))
         if (leader) {
-          const again = await group.propose(leader, buildTable(7))
+          const again = await group.propose(leader, buildTableCommand(7))
           expect(again, what).to.deep.equal({ isNewer: false, version: 7 })
           expect(group.countLeases(), what).to.equal(1)
         }
@@ -96,7 +96,7 @@
       ['b', 'c'],
     ].entries()) {
       const group = await createTestGroup(first, seed + 1)
-      const steps = createGroupSteps({ group, targetVoters: 5 })
+      const steps = createMembershipDriver({ group, targetVoters: 5 })
       const runSteps = async (duration: number) => {
         for (let spent = 0; spent < duration; spent += ELECTION_MS) {
           steps.apply()
@@ -107,13 +107,13 @@
       await group.losePower(['d'])
       await group.start('e', { isFounding: false })
       await runSteps(SHRINK_AFTER_MS + REPLACE_AFTER_MS)
-      await group.propose(await group.findLeader(), buildTable(7))
+      await group.propose(await group.findLeader(), buildTableCommand(7))
       const lost = now.filter((name) => !kept.includes(name))
       await applyLosses(group, now, { lost, down: [], cutOff: [] })
-      await group.run(ELECTION_MS * NOBODY_TIMEOUTS)
+      await group.run(ELECTION_MS * ELECTION_FAILED_TIMEOUTS)
       const leader = group.leader()
       expect(kept, `only ${kept.join()} are left`).to.include(leader?.name)
-      const again = leader && (await group.propose(leader, buildTable(7)))
+      const again = leader && (await group.propose(leader, buildTableCommand(7)))
       expect(again).to.deep.equal({ isNewer: false, version: 7 })
       await runSteps(SHRINK_AFTER_MS + REPLACE_AFTER_MS)
       const voters = Object.entries(group.leader()?.member.status().members ?? {})
@@ -126,9 +126,9 @@
     const urls = NAMES.slice(0, 4)
     for (const seed of [1, 2, 3]) {
       const group = await createTestGroup(urls, seed)
-      const steps = createGroupSteps({ group, targetVoters: 5 })
+      const steps = createMembershipDriver({ group, targetVoters: 5 })
       const names = new Map(urls.map((url) => [url, url]))
-      await group.propose(await group.findLeader(), buildTable(7))
+      await group.propose(await group.findLeader(), buildTableCommand(7))
       // Each disk is lost in its turn, and again: whoever holds the entry got it by a repair.
       for (let round = 0; round < 6; round += 1) {
         const lost = [urls[(round * 2 + seed) % 4], urls[(round * 2 + seed + 1) % 4]]
@@ -150,7 +150,7 @@
           steps.apply()
           return group.leader() !== undefined && [...group.members.values()].every(isWhole)
         }, `all four are voters again in round ${round}`)
-        const again = await group.propose(await group.findLeader(), buildTable(7))
+        const again = await group.propose(await group.findLeader(), buildTableCommand(7))
         expect(again, `round ${round}`).to.deep.equal({ isNewer: false, version: 7 })
       }
       await group.close()
@@ -188,16 +188,16 @@
       cutBetween(group, [old.name, 'x'], [next, third])
       startChange(old, 'x', 'voter')
       const other = await group.findLeader(old.name)
-      await group.propose(other, buildTable(7))
+      await group.propose(other, buildTableCommand(7))
       const lost = other.name === next ? third : next
       await group.loseDisks([lost])
       group.heal()
       group.frozen.add(other.name)
       // Of four voters one is lost and two grant, but neither holds what was acknowledged.
-      await group.run(ELECTION_MS * NOBODY_TIMEOUTS)
+      await group.run(ELECTION_MS * ELECTION_FAILED_TIMEOUTS)
       expect(group.leader()?.name, `seed ${seed}`).to.equal(undefined)
       group.frozen.delete(other.name)
-      const again = await group.propose(await group.findLeader(), buildTable(7))
+      const again = await group.propose(await group.findLeader(), buildTableCommand(7))
       expect(again, `seed ${seed}`).to.deep.equal({ isNewer: false, version: 7 })
       await group.close()
     }
--- a/packages/control/src/client/configFollower.ts
+++ b/packages/control/src/client/configFollower.ts
@@ -48,10 +48,10 @@
   close(): Promise<void>
 }
 
-type ConfigAnswer = ConfigUpdate | { readonly kind: 'current'; readonly version: number }
+type ConfigReply = ConfigUpdate | { readonly kind: 'current'; readonly version: number }
 
-const POLL_MS = 25_000
-const POLL_TIMEOUT_MS = POLL_MS + 5_000
+const POLL_WAIT_MS = 25_000
+const POLL_TIMEOUT_MS = POLL_WAIT_MS + 5_000
 const FETCH_TIMEOUT_MS = 3_000
 const RETRY_DELAY_MS = 200
 const NO_VERSION = -1
@@ -79,7 +79,7 @@
     fleets.next(resolved.value)
     logger.info('config.inForce', { version: at })
   }
-  const applyUpdate = (update: ConfigAnswer): boolean => {
+  const applyUpdate = (update: ConfigReply): boolean => {
     if (update.kind === 'current') return true
     if (update.kind === 'whole') {
       install(toCanonicalForm(update.source), update.version)
@@ -94,7 +94,7 @@
     const after = version()
     const query = `after=${after}&wait=${waitMs}&node=${encodeURIComponent(options.node)}`
     const fetchAfter = (path: string) =>
-      client.sendJson<ConfigAnswer>({
+      client.sendJson<ConfigReply>({
         method: 'GET',
         url: `${url}/config?${path}`,
         timeoutMs,
@@ -107,12 +107,12 @@
     }
   }
   const poll = async () => {
-    for (let turn = 0; !stopping.signal.aborted;) {
+    for (let sourceIndex = 0; !stopping.signal.aborted;) {
       try {
-        const waitMs = version() === NO_VERSION ? 0 : POLL_MS
-        await fetchFrom(sources[turn % sources.length], waitMs, POLL_TIMEOUT_MS)
+        const waitMs = version() === NO_VERSION ? 0 : POLL_WAIT_MS
+        await fetchFrom(sources[sourceIndex % sources.length], waitMs, POLL_TIMEOUT_MS)
       } catch {
-        turn += 1
+        sourceIndex += 1
         await waitFor(timers, RETRY_DELAY_MS, stopping.signal)
       }
     }
--- a/packages/control/src/client/controlClient.ts
+++ b/packages/control/src/client/controlClient.ts
@@ -35,13 +35,13 @@
 }
 
 const DEFAULT_TIMEOUT_MS = 5_000
-const TRY_TIMEOUT_MS = 2_000
+const ATTEMPT_TIMEOUT_MS = 2_000
 const RETRY_DELAY_MS = 50
 
 /** Creates a client. */
 export function createControlClient(options: ControlClientOptions): ControlClient {
   const { urls, client, timers } = options
-  let preferred = urls[0]
+  let preferredUrl = urls[0]
 
   const findNextUrl = (failed: string): string => {
     const index = urls.indexOf(failed)
@@ -50,27 +50,27 @@
   /** Decides where to try next; rethrows what another try cannot fix. */
   const handleFailure = (cause: unknown, tried: string) => {
     if (cause instanceof ConnectionError) {
-      preferred = findNextUrl(tried)
+      preferredUrl = findNextUrl(tried)
       return
     }
-    const isPassing =
+    const isTransient =
       cause instanceof SpoolgateError &&
       (cause.kind === 'notLeader' || cause.kind === 'controlUnavailable')
-    if (!isPassing) throw cause
+    if (!isTransient) throw cause
     const details = cause.details as { leaderUrl?: string } | undefined
-    preferred = details?.leaderUrl ?? findNextUrl(tried)
+    preferredUrl = details?.leaderUrl ?? findNextUrl(tried)
   }
   const request = async <T>(method: string, path: string, json?: unknown): Promise<T> => {
     const deadline = timers.now() + (options.timeoutMs ?? DEFAULT_TIMEOUT_MS)
     while (timers.now() < deadline) {
-      const tried = preferred
-      const timeoutMs = Math.min(TRY_TIMEOUT_MS, Math.max(1, deadline - timers.now()))
+      const tried = preferredUrl
+      const timeoutMs = Math.min(ATTEMPT_TIMEOUT_MS, Math.max(1, deadline - timers.now()))
       try {
         return await client.sendJson<T>({ method, url: `${tried}${path}`, json, timeoutMs })
       } catch (cause) {
         handleFailure(cause, tried)
       }
-      if (preferred === tried || urls.length > 1) await waitFor(timers, RETRY_DELAY_MS)
+      if (preferredUrl === tried || urls.length > 1) await waitFor(timers, RETRY_DELAY_MS)
     }
     throw new SpoolgateError('controlUnavailable', 'no control leader answered; try again later', {
       notRun: false,
--- a/packages/control/src/group/faultToleranceReport.ts
+++ b/packages/control/src/group/faultToleranceReport.ts
@@ -21,8 +21,8 @@
 }
 
 /** Counts the losses for which a number of voters is wanted: twice as many and one. */
-export function countTargetLosses(wantedVoters: number): number {
-  return Math.floor((wantedVoters - 1) / 2)
+export function countTargetLosses(targetVoters: number): number {
+  return Math.floor((targetVoters - 1) / 2)
 }
 
 /** Options of {@link createFaultToleranceReport}. */
@@ -47,25 +47,26 @@
   options: FaultToleranceReportOptions,
 ): FaultToleranceReport {
   const { timers, logger } = options
-  const wanted = countTargetLosses(options.targetVoters)
-  let since = -Infinity
-  let content: string | undefined
-  let isWritten = false
+  const targetLosses = countTargetLosses(options.targetVoters)
+  let belowTargetSince = -Infinity
+  let groupBelowTarget: string | undefined
+  let isLogged = false
   return {
     recordGroup: (members) => {
       const { away, lostDisks } = countToleratedLosses(members)
       const voters = listVoters(members).length
       const found =
-        away < wanted ? JSON.stringify([voters, Object.keys(members).length]) : undefined
-      if (found !== content) {
-        content = found
-        since = timers.now()
-        isWritten = false
+        away < targetLosses ? JSON.stringify([voters, Object.keys(members).length]) : undefined
+      if (found !== groupBelowTarget) {
+        groupBelowTarget = found
+        belowTargetSince = timers.now()
+        isLogged = false
       }
-      if (!found || isWritten || timers.now() - since < LOW_TOLERANCE_WARNING_DELAY_MS) return
-      isWritten = true
+      if (!found || isLogged || timers.now() - belowTargetSince < LOW_TOLERANCE_WARNING_DELAY_MS)
+        return
+      isLogged = true
       logger.warn('group.bearsFewer', {
-        wanted,
+        wanted: targetLosses,
         away,
         lostDisks,
         voters,
--- a/packages/control/src/group/groupPlan.ts
+++ b/packages/control/src/group/groupPlan.ts
@@ -49,10 +49,10 @@
 /** Silence after which a learner is forgotten, in ms; it asks to be taken in when it returns. */
 export const REMOVE_LEARNER_AFTER_MS = 15_000
 /** Longest silence of a learner that becomes a voter, in ms. */
-const ALIVE_MS = 600
+const MAX_PROMOTION_SILENCE_MS = 600
 
 /** Voters below which a silent one is kept: of two, one that is away would stop the group. */
-const LEAST_VOTERS = 3
+const MIN_VOTERS = 3
 
 type Entry = readonly [string, MemberInfo]
 
@@ -67,10 +67,10 @@
 /** A member whose address now belongs to another disk can never return. */
 function findReplacedDisk({
   members,
-  joinRequests: joiners,
+  joinRequests: joinRequests,
   leader,
 }: MembershipPlanInput): MembershipStep | undefined {
-  for (const joiner of joiners) {
+  for (const joiner of joinRequests) {
     const old = Object.entries(members).find(
       ([name, { url }]) => url === joiner.url && name !== joiner.name && name !== leader,
     )
@@ -81,29 +81,34 @@
 
 function findJoin({
   members,
-  joinRequests: joiners,
+  joinRequests: joinRequests,
 }: MembershipPlanInput): MembershipStep | undefined {
-  const joiner = joiners.find(({ name }) => !(name in members))
+  const joiner = joinRequests.find(({ name }) => !(name in members))
   if (!joiner) return undefined
   const { name, url } = joiner
   return { members: { ...members, [name]: { url, kind: 'learner' } }, member: name, reason: 'join' }
 }
 
 function findVoterStep(input: MembershipPlanInput): MembershipStep | undefined {
-  const { members, leader, targetVoters: wantedVoters, findHealth: findView } = input
+  const { members, leader, targetVoters: targetVoters, findHealth: findHealth } = input
   const entries: Entry[] = Object.entries(members)
   const voters = entries.filter(([, { kind }]) => kind === 'voter')
-  const isSilent = ([name]: Entry) => name !== leader && findView(name).silentMs > REPLACE_AFTER_MS
+  const isSilent = ([name]: Entry) =>
+    name !== leader && findHealth(name).silentMs > REPLACE_AFTER_MS
   const silent = voters.filter(isSilent)
-  const ready = entries.find(([name, { kind }]) => {
-    const view = findView(name)
-    return kind === 'learner' && view.isCaughtUp && view.silentMs < ALIVE_MS
+  const promotable = entries.find(([name, { kind }]) => {
+    const view = findHealth(name)
+    return kind === 'learner' && view.isCaughtUp && view.silentMs < MAX_PROMOTION_SILENCE_MS
   })
-  const working = voters.length - silent.length
-  if (ready && working < wantedVoters && voters.length <= wantedVoters) {
-    return { members: applyKind(members, ready, 'voter'), member: ready[0], reason: 'caughtUp' }
+  const activeVoters = voters.length - silent.length
+  if (promotable && activeVoters < targetVoters && voters.length <= targetVoters) {
+    return {
+      members: applyKind(members, promotable, 'voter'),
+      member: promotable[0],
+      reason: 'caughtUp',
+    }
   }
-  if (voters.length > wantedVoters) {
+  if (voters.length > targetVoters) {
     const surplus = silent[0] ?? voters.filter(([name]) => name !== leader).at(-1)
     if (!surplus) return undefined
     const next = applyKind(members, surplus, 'learner')
@@ -111,25 +116,27 @@
   }
   // An odd group without one has the same majority, and no entry is held on fewer disks. It bears
   // more: a voter that was replaced for good would else count as away for ever, besides new losses.
-  const isSpare = voters.length % 2 === 1 && voters.length > LEAST_VOTERS
-  const away = silent.find(([name]) => findView(name).silentMs > SHRINK_AFTER_MS)
-  if (!isSpare || !away) return undefined
+  const isShrinkable = voters.length % 2 === 1 && voters.length > MIN_VOTERS
+  const away = silent.find(([name]) => findHealth(name).silentMs > SHRINK_AFTER_MS)
+  if (!isShrinkable || !away) return undefined
   return { members: applyKind(members, away, 'learner'), member: away[0], reason: 'away' }
 }
 
-function findForgotten({
+function findExpiredLearner({
   members,
-  findHealth: findView,
+  findHealth: findHealth,
   leader,
 }: MembershipPlanInput): MembershipStep | undefined {
   const lost = Object.entries(members).find(
     ([name, { kind }]) =>
-      kind === 'learner' && name !== leader && findView(name).silentMs > REMOVE_LEARNER_AFTER_MS,
+      kind === 'learner' && name !== leader && findHealth(name).silentMs > REMOVE_LEARNER_AFTER_MS,
   )
   return lost && { members: removeMember(members, lost[0]), member: lost[0], reason: 'silent' }
 }
 
 /** Plans the next change of the group; undefined when it is as it should be. */
 export function findMembershipStep(input: MembershipPlanInput): MembershipStep | undefined {
-  return findReplacedDisk(input) ?? findJoin(input) ?? findVoterStep(input) ?? findForgotten(input)
+  return (
+    findReplacedDisk(input) ?? findJoin(input) ?? findVoterStep(input) ?? findExpiredLearner(input)
+  )
 }
--- a/packages/control/src/group/membershipManager.ts
+++ b/packages/control/src/group/membershipManager.ts
@@ -41,30 +41,30 @@
 }
 
 /** Time between two looks at the group, in ms: short against the replacement of a voter. */
-const LOOK_PERIOD_MS = 200
+const CHECK_PERIOD_MS = 200
 /** Time without a leader after which a member asks to be taken in, in ms. */
-const ASK_AFTER_MS = 1_000
+const JOIN_AFTER_MS = 1_000
 /** Longest wait for an answer to a join, in ms. */
 const JOIN_TIMEOUT_MS = 500
 /** Time for which a request to join is remembered, in ms. */
-const JOINER_LIFE_MS = 3_000
+const JOIN_REQUEST_TTL_MS = 3_000
 
 /** Creates the keeper and starts its task. */
 export function createMembershipManager(options: MembershipManagerOptions): MembershipManager {
   const { member, timers, logger, client } = options
   const stopping = new AbortController()
-  const joiners = new Map<string, { readonly joiner: JoinRequest; readonly at: number }>()
-  let leaderSeenAt = -Infinity
+  const joinRequests = new Map<string, { readonly joiner: JoinRequest; readonly at: number }>()
+  let leaderKnownAt = -Infinity
   let leadingTerm: number | undefined
   let leadingSince = 0
-  const bearing = createFaultToleranceReport(options)
+  const toleranceReport = createFaultToleranceReport(options)
 
-  const listJoiners = (): JoinRequest[] => {
-    const oldest = timers.now() - JOINER_LIFE_MS
-    for (const [name, { at }] of joiners) if (at < oldest) joiners.delete(name)
-    return [...joiners.values()].map(({ joiner }) => joiner)
+  const listJoinRequests = (): JoinRequest[] => {
+    const oldest = timers.now() - JOIN_REQUEST_TTL_MS
+    for (const [name, { at }] of joinRequests) if (at < oldest) joinRequests.delete(name)
+    return [...joinRequests.values()].map(({ joiner }) => joiner)
   }
-  const findView = (name: string): MemberHealth => {
+  const findHealth = (name: string): MemberHealth => {
     const { commitIndex } = member.status()
     if (name === options.name) return { silentMs: 0, isCaughtUp: true }
     const found = member.listFollowers().find((follower) => follower.name === name)
@@ -73,75 +73,75 @@
     const isCaughtUp = (found?.matchIndex ?? 0) >= commitIndex
     return { silentMs: timers.now() - receivedAt, isCaughtUp }
   }
-  const lead = async () => {
+  const runLeaderCheck = async () => {
     const { term, hasLease, members } = member.status()
     if (term !== leadingTerm) {
       leadingTerm = term
       leadingSince = timers.now()
     }
     if (!hasLease) return
-    bearing.recordGroup(members)
-    const { targetVoters: wantedVoters, name } = options
+    toleranceReport.recordGroup(members)
+    const { targetVoters: targetVoters, name } = options
     const step = findMembershipStep({
       leader: name,
       members,
-      joinRequests: listJoiners(),
-      targetVoters: wantedVoters,
-      findHealth: findView,
+      joinRequests: listJoinRequests(),
+      targetVoters: targetVoters,
+      findHealth: findHealth,
     })
     if (!step) return
     logger.info('group.change', { member: step.member, reason: step.reason, term })
     await member.changeMembers(step.members)
   }
-  const askToJoin = async () => {
+  const sendJoinRequests = async () => {
     const { members } = member.status()
     const known = Object.values(members).map(({ url }) => url)
     const targets = new Set([...known, ...options.seeds()])
     targets.delete(options.url)
     const body = { name: options.name, url: options.url }
-    const asked = [...targets].map(async (target) => {
+    const attempts = [...targets].map(async (target) => {
       try {
-        await askOne(target, body)
+        await sendJoinRequest(target, body)
       } catch (cause) {
         const leaderUrl = findLeaderUrl(cause)
-        if (leaderUrl && !targets.has(leaderUrl)) await askOne(leaderUrl, body)
+        if (leaderUrl && !targets.has(leaderUrl)) await sendJoinRequest(leaderUrl, body)
       }
     })
-    await Promise.allSettled(asked)
+    await Promise.allSettled(attempts)
   }
-  const askOne = (target: string, json: JoinRequest) =>
+  const sendJoinRequest = (target: string, json: JoinRequest) =>
     client.sendJson({
       method: 'POST',
       url: `${target}${JOIN_PATH}`,
       json,
       timeoutMs: JOIN_TIMEOUT_MS,
     })
-  const look = async () => {
+  const runCheck = async () => {
     const { role, leader } = member.status()
-    if (role === 'leader') return lead()
+    if (role === 'leader') return runLeaderCheck()
     leadingTerm = undefined
     const now = timers.now()
-    if (leader !== undefined) leaderSeenAt = now
-    else if (now - leaderSeenAt > ASK_AFTER_MS) await askToJoin()
+    if (leader !== undefined) leaderKnownAt = now
+    else if (now - leaderKnownAt > JOIN_AFTER_MS) await sendJoinRequests()
   }
-  const run = async () => {
+  const runChecks = async () => {
     while (!stopping.signal.aborted) {
       try {
-        await look()
+        await runCheck()
       } catch (cause) {
         logger.debug('group.changeFailed', { reason: toSpoolgateError(cause).message })
       }
-      await waitFor(timers, LOOK_PERIOD_MS, stopping.signal)
+      await waitFor(timers, CHECK_PERIOD_MS, stopping.signal)
     }
   }
-  const running = run()
+  const running = runChecks()
   return {
     recordJoinRequest: (joiner) => {
       const { role, leader, leaderUrl } = member.status()
       if (role !== 'leader') {
         throw new SpoolgateError('notLeader', 'ask the leader', { details: { leader, leaderUrl } })
       }
-      joiners.set(joiner.name, { joiner, at: timers.now() })
+      joinRequests.set(joiner.name, { joiner, at: timers.now() })
     },
     close: async () => {
       stopping.abort()
--- a/packages/control/src/registry/registryControl.ts
+++ b/packages/control/src/registry/registryControl.ts
@@ -63,7 +63,7 @@
   /** Whether this is the first start of the deployment, in which the seeds form the initial group. */
   readonly isFirstStart: boolean
   /** Target number of voters in the group. */
-  readonly wantedVoters: number
+  readonly targetVoters: number
   readonly engineClient: EngineClient
   readonly cacheCalls: CacheClient
   /** Decodes the routing table document submitted by operators. */
@@ -170,12 +170,12 @@
     snapshotEvery: SNAPSHOT_EVERY,
     startedAt: options.startedAt,
   })
-  const groupKeeper = createMembershipManager({
+  const membershipManager = createMembershipManager({
     member,
     name: identity.name,
     url,
     seeds: options.seeds,
-    targetVoters: options.wantedVoters,
+    targetVoters: options.targetVoters,
     client,
     timers,
     logger,
@@ -277,7 +277,7 @@
       method: 'POST',
       path: JOIN_PATH,
       handler: async ({ request, response }: HttpExchange) => {
-        groupKeeper.recordJoinRequest(
+        membershipManager.recordJoinRequest(
           (await readJson(request, INTERNAL_BODY_LIMITS)) as JoinRequest,
         )
         sendJson(response, 200, {})
@@ -326,7 +326,7 @@
     url,
     member: identity.name,
     seeds,
-    voters: options.wantedVoters,
+    voters: options.targetVoters,
   })
 
   return {
@@ -340,7 +340,7 @@
       stopping.next()
       monitor.close()
       await caches.close()
-      await groupKeeper.close()
+      await membershipManager.close()
       await rollout.close()
       const report = await server.close(drainMs)
       await member.close()
--- a/packages/control/src/server/configRoutes.ts
+++ b/packages/control/src/server/configRoutes.ts
@@ -100,17 +100,17 @@
 
   const waitForVersion = async (after: number, waitMs: number, response: ServerResponse) => {
     if (machine.config.version() > after) return
-    const late = timers.after(Math.min(waitMs, MAX_POLL_WAIT_MS))
+    const timeout = timers.after(Math.min(waitMs, MAX_POLL_WAIT_MS))
     // Without the last two a poll outlived its node, and kept a stopping instance for its whole wait.
-    const isOver = race(
+    const pollEnded = race(
       machine.configVersions,
-      late,
+      timeout,
       fromEvent(response, 'close'),
       options.stopping,
     )
-    await firstValueFrom(isOver, { defaultValue: undefined })
+    await firstValueFrom(pollEnded, { defaultValue: undefined })
   }
-  const follow = async ({ response, query }: HttpExchange) => {
+  const servePoll = async ({ response, query }: HttpExchange) => {
     const after = Number(query.get('after') ?? -1)
     const node = query.get('node')
     if (node) nodes.record(node, after)
@@ -133,15 +133,21 @@
       changes: machine.config.history(),
     })
   }
-  const findKept = (text: string | null) => {
+  const findStoredSource = (text: string | null) => {
     const source = machine.config.findSource(Number(text))
     if (source) return source
     throw new SpoolgateError('notFound', `version ${text} is not kept; see the history`)
   }
   const showVersion = ({ response, params }: HttpExchange) =>
-    sendJson(response, 200, { version: Number(params.version), source: findKept(params.version) })
+    sendJson(response, 200, {
+      version: Number(params.version),
+      source: findStoredSource(params.version),
+    })
   const showDiff = ({ response, query }: HttpExchange) => {
-    const patch = buildFleetPatch(findKept(query.get('from')), findKept(query.get('to')))
+    const patch = buildFleetPatch(
+      findStoredSource(query.get('from')),
+      findStoredSource(query.get('to')),
+    )
     sendJson(response, 200, { touched: listPatchedItems(patch), patch })
   }
   const showStatus = ({ response }: HttpExchange) =>
@@ -149,7 +155,7 @@
 
   return [
     { method: 'POST', path: '/config', key: operatorKey, handler: submit },
-    { method: 'GET', path: '/config', key: processKey, handler: follow },
+    { method: 'GET', path: '/config', key: processKey, handler: servePoll },
     { method: 'GET', path: '/config/current', key: operatorKey, handler: showCurrent },
     { method: 'GET', path: '/config/history', key: operatorKey, handler: showHistory },
     { method: 'GET', path: '/config/diff', key: operatorKey, handler: showDiff },
--- a/packages/control/src/server/controlServer.ts
+++ b/packages/control/src/server/controlServer.ts
@@ -107,13 +107,13 @@
 
 /** Resolves the configuration in force, once for each version. */
 function createFleetReader(machine: ControlStateMachine): () => Fleet | undefined {
-  let known: Fleet | undefined
+  let cached: Fleet | undefined
   return () => {
     const version = machine.config.version()
-    if (known?.version !== version) {
-      known = resolveFleetConfig(machine.config.source(), version).unwrapOr(undefined)
+    if (cached?.version !== version) {
+      cached = resolveFleetConfig(machine.config.source(), version).unwrapOr(undefined)
     }
-    return known
+    return cached
   }
 }
 
@@ -173,14 +173,14 @@
     invariants,
     findParameters: (team) => findFleet()?.teams.get(team)?.parameters,
   })
-  const shared = { member, machine, timers, processKey, operatorKey }
+  const sharedOptions = { member, machine, timers, processKey, operatorKey }
   server.addRoutes([
     ...createDaemonRoutes({ metrics, findUnreadyReason }),
-    ...createConfigRoutes({ ...shared, nodes: createNodeVersions(timers), stopping }),
-    ...createGroupRoutes({ ...shared, isCut, ledger }),
+    ...createConfigRoutes({ ...sharedOptions, nodes: createNodeVersions(timers), stopping }),
+    ...createGroupRoutes({ ...sharedOptions, isCut, ledger }),
   ])
 
-  const repair = createOrderRunner({
+  const orderRunner = createOrderRunner({
     member,
     machine,
     client,
@@ -190,7 +190,7 @@
     periodMs: options.repairPeriodMs,
   })
   const retentionMs = options.claimRetentionMs ?? DEFAULT_CLAIM_RETENTION_MS
-  const expiry = timers.every(CLAIM_EXPIRY_PERIOD_MS).subscribe(() => {
+  const claimExpiry = timers.every(CLAIM_EXPIRY_PERIOD_MS).subscribe(() => {
     if (member.status().role !== 'leader') return
     const at = timers.wallNow()
     member.propose({ kind: 'claim.expire', before: at - retentionMs, at }).catch(() => {})
@@ -205,8 +205,8 @@
     traffic: server.traffic,
     close: async (drainMs = DEFAULT_DRAIN_MS) => {
       stopping.next()
-      expiry.unsubscribe()
-      await repair.close()
+      claimExpiry.unsubscribe()
+      await orderRunner.close()
       const report = await server.close(drainMs)
       await member.close()
       client.close()
--- a/packages/control/src/server/groupRoutes.ts
+++ b/packages/control/src/server/groupRoutes.ts
@@ -78,7 +78,7 @@
   const checkLink = (from: string) => {
     if (options.isCut(from)) throw new SpoolgateError('controlUnavailable', 'link is cut')
   }
-  const checkName = (to: string | null) => {
+  const checkRecipient = (to: string | null) => {
     const { name } = member.status()
     if (to === null || to === name) return
     throw new SpoolgateError('conflict', `${to} is not here; this is ${name}`)
@@ -91,12 +91,12 @@
       return member.handleVote(message as VoteRequest)
     },
     append: (message, to) => {
-      checkName(to)
+      checkRecipient(to)
       checkLink((message as AppendRequest).leader)
       return member.handleAppend(message as AppendRequest)
     },
     install: (message, to) => {
-      checkName(to)
+      checkRecipient(to)
       checkLink((message as InstallRequest).leader)
       return member.handleInstall(message as InstallRequest)
     },
@@ -132,13 +132,13 @@
   }
   let ledgerTerm = NO_TERM
   const serveShares = async ({ request, response }: HttpExchange) => {
-    const asked = (await readJson(request, INTERNAL_BODY_LIMITS)) as ShareRequest
+    const shareRequest = (await readJson(request, INTERNAL_BODY_LIMITS)) as ShareRequest
     member.checkCurrent()
     const { term } = member.status()
     // In a new term another leader may have handed out shares that still run.
     if (ledgerTerm !== term) options.ledger.reset()
     ledgerTerm = term
-    sendJson(response, 200, options.ledger.grant(asked))
+    sendJson(response, 200, options.ledger.grant(shareRequest))
   }
   const serveMemberChange = async ({ request, response }: HttpExchange) => {
     const change = (await readJson(request, INTERNAL_BODY_LIMITS)) as MemberChange
--- a/packages/control/src/server/nodeVersions.ts
+++ b/packages/control/src/server/nodeVersions.ts
@@ -16,7 +16,7 @@
 }
 
 /** Nodes not seen for this long are left out, in ms. */
-const FORGET_AFTER_MS = 120_000
+const NODE_TTL_MS = 120_000
 
 /** Creates an empty table. */
 export function createNodeVersions(timers: TimerService): NodeVersions {
@@ -25,7 +25,7 @@
     record: (node, version) => void nodes.set(node, { version, at: timers.now() }),
     list: () => {
       const now = timers.now()
-      for (const [node, seen] of nodes) if (now - seen.at > FORGET_AFTER_MS) nodes.delete(node)
+      for (const [node, seen] of nodes) if (now - seen.at > NODE_TTL_MS) nodes.delete(node)
       return [...nodes].map(([node, seen]) => ({
         node,
         version: seen.version,
--- a/packages/control/src/server/orderRunner.ts
+++ b/packages/control/src/server/orderRunner.ts
@@ -49,12 +49,12 @@
 const DEFAULT_PERIOD_MS = 1_000
 const STATUS_TIMEOUT_MS = 1_000
 const ORDER_TIMEOUT_MS = 600_000
-const FIRST_BACKOFF_MS = 2_000
+const INITIAL_BACKOFF_MS = 2_000
 const MAX_BACKOFF_MS = 120_000
 /** Sidecars that are asked in one period. */
-const ASKED_AT_ONCE = 4
+const STATUS_BATCH_SIZE = 4
 /** Most engines of one model that repair may take out of service at once, as a share of them. */
-const MAX_OUT_RATIO = 0.34
+const MAX_UNAVAILABLE_RATIO = 0.34
 
 /** Creates the repair of a control instance; it rests while the instance does not lead. */
 export function createOrderRunner(options: OrderRunnerOptions): OrderRunner {
@@ -66,7 +66,7 @@
 
   /** What each sidecar last reported; undefined when it did not answer. */
   const statuses = new Map<BackendServerId, SidecarStatus | undefined>()
-  let turn = 0
+  let nextIndex = 0
 
   const isLeading = () => {
     const { role, hasLease } = member.status()
@@ -75,11 +75,11 @@
   const recordFailure = (server: BackendServerId) => {
     const backoff = backoffs.get(server) ?? { failures: 0, until: 0 }
     backoff.until =
-      timers.now() + Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** backoff.failures)
+      timers.now() + Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** backoff.failures)
     backoff.failures += 1
     backoffs.set(server, backoff)
   }
-  const carryOut = async (order: Order, server: BackendServer) => {
+  const runOrder = async (order: Order, server: BackendServer) => {
     const { fencing, action, value } = order
     let outcome: 'done' | 'failed' = 'done'
     try {
@@ -100,17 +100,17 @@
   }
   const startOrder = (order: Order, server: BackendServer) => {
     if (running.has(order.fencing)) return
-    const work = carryOut(order, server).finally(() => running.delete(order.fencing))
+    const work = runOrder(order, server).finally(() => running.delete(order.fencing))
     running.set(order.fencing, work)
   }
   /** Takes up orders that an earlier leader issued and did not see finished. */
-  const resumeOpen = (fleet: Fleet) => {
+  const resumeOpenOrders = (fleet: Fleet) => {
     for (const order of machine.orders.open()) {
       const server = fleet.backendServers.get(order.server)
       if (server) startOrder(order, server)
     }
   }
-  const askStatus = async (server: BackendServer): Promise<SidecarStatus | undefined> => {
+  const fetchStatus = async (server: BackendServer): Promise<SidecarStatus | undefined> => {
     try {
       const url = `${server.sidecarUrl}/status`
       return await client.sendJson<SidecarStatus>({
@@ -126,17 +126,17 @@
    * Asks the next few sidecars in turn, so that a look at a large fleet costs no more than one at a
    * small fleet; a fleet of 600 is seen whole every 150 periods.
    */
-  const askNext = async (servers: readonly BackendServer[]) => {
-    const count = Math.min(ASKED_AT_ONCE, servers.length)
-    const some = Array.from(
+  const fetchNextStatuses = async (servers: readonly BackendServer[]) => {
+    const count = Math.min(STATUS_BATCH_SIZE, servers.length)
+    const batch = Array.from(
       { length: count },
-      (_, index) => servers[(turn + index) % servers.length],
+      (_, index) => servers[(nextIndex + index) % servers.length],
     )
-    turn += count
-    const replies = await Promise.all(some.map(askStatus))
-    some.forEach((server, index) => statuses.set(server.id, replies[index]))
+    nextIndex += count
+    const replies = await Promise.all(batch.map(fetchStatus))
+    batch.forEach((server, index) => statuses.set(server.id, replies[index]))
   }
-  const issue = async (server: BackendServer, weights: string): Promise<boolean> => {
+  const issueWeightLoad = async (server: BackendServer, weights: string): Promise<boolean> => {
     const command = {
       kind: 'order.issue',
       server: server.id,
@@ -162,33 +162,33 @@
     return backend?.isReady === true && backend.weightsVersion === weights
   }
   /** Whether an engine is up, stays, and runs other weights than it should. */
-  const isWanting = (server: BackendServer, weights: string) => {
+  const isOutdated = (server: BackendServer, weights: string) => {
     const status = statuses.get(server.id)
     if (!status?.backend.isReady || status.isLeaving) return false
     return status.backend.weightsVersion !== weights
   }
   const repairModel = async (servers: readonly BackendServer[], weights: string) => {
-    const isServed = servers.some((server) => hasWeights(server, weights))
-    const mayTakeOut = Math.max(1, Math.floor(servers.length * MAX_OUT_RATIO))
-    let out = servers.filter(isLoading).length
-    const wanting = servers.filter(
-      (server) => isWanting(server, weights) && !isLoading(server) && !isBackingOff(server),
+    const hasUpdatedServer = servers.some((server) => hasWeights(server, weights))
+    const maxUnavailable = Math.max(1, Math.floor(servers.length * MAX_UNAVAILABLE_RATIO))
+    let unavailable = servers.filter(isLoading).length
+    const outdated = servers.filter(
+      (server) => isOutdated(server, weights) && !isLoading(server) && !isBackingOff(server),
     )
-    for (const server of wanting) {
-      if (isServed && out >= mayTakeOut) return
-      if (!(await issue(server, weights))) return
-      out += 1
+    for (const server of outdated) {
+      if (hasUpdatedServer && unavailable >= maxUnavailable) return
+      if (!(await issueWeightLoad(server, weights))) return
+      unavailable += 1
     }
   }
-  const repair = async () => {
+  const repairFleet = async () => {
     const fleet = options.findFleet()
     if (!fleet || !isLeading()) return
-    resumeOpen(fleet)
+    resumeOpenOrders(fleet)
     const engines = [...fleet.backendServers.values()].filter(
       ({ kind, leaving }) => kind === 'engine' && !leaving,
     )
     if (engines.length === 0) return
-    await askNext(engines)
+    await fetchNextStatuses(engines)
     for (const model of fleet.models.values()) {
       if (!isLeading()) return
       const servers = engines.filter(({ serves }) => serves === model.id)
@@ -199,7 +199,9 @@
     while (!stopping.signal.aborted) {
       await waitFor(timers, options.periodMs ?? DEFAULT_PERIOD_MS, stopping.signal)
       if (stopping.signal.aborted) return
-      await repair().catch((cause) => logger.debug('repair.interrupted', { reason: String(cause) }))
+      await repairFleet().catch((cause) =>
+        logger.debug('repair.interrupted', { reason: String(cause) }),
+      )
     }
   }
   const task = runRepairs()
--- a/packages/control/src/server/shareLedger.ts
+++ b/packages/control/src/server/shareLedger.ts
@@ -55,37 +55,38 @@
 }
 
 /** Grants of one limit by router. */
-type Holders = Map<string, Grant>
+type RouterGrants = Map<string, Grant>
 
-function addUp(holders: Holders, pick: (grant: Grant) => number): number {
-  return [...holders.values()].reduce((sum, grant) => sum + pick(grant), 0)
+function countTotal(grants: RouterGrants, pick: (grant: Grant) => number): number {
+  return [...grants.values()].reduce((sum, grant) => sum + pick(grant), 0)
 }
 
 /** Creates an empty ledger that hands out nothing until earlier shares have expired. */
 export function createShareLedger(options: ShareLedgerOptions): ShareLedger {
   const { timers, invariants } = options
-  const limits = new Map<string, Holders>()
-  let startsAt = timers.now() + SHARE_TTL_MS
+  const limits = new Map<string, RouterGrants>()
+  let grantsStartAt = timers.now() + SHARE_TTL_MS
 
-  const findHolders = (name: string, now: number): Holders => {
-    const holders: Holders = limits.get(name) ?? new Map()
-    limits.set(name, holders)
-    for (const [router, grant] of holders) if (grant.expiresAt <= now) holders.delete(router)
-    return holders
+  const findActiveGrants = (name: string, now: number): RouterGrants => {
+    const grants: RouterGrants = limits.get(name) ?? new Map()
+    limits.set(name, grants)
+    for (const [router, grant] of grants) if (grant.expiresAt <= now) grants.delete(router)
+    return grants
   }
-  const grantOne = (name: string, router: string, limit: number, asked: number): number => {
+  const grantShare = (name: string, router: string, limit: number, requested: number): number => {
     const now = timers.now()
-    const holders = findHolders(name, now)
-    holders.delete(router)
-    const demand = Math.max(asked, MIN_DEMAND)
-    const totalDemand = demand + addUp(holders, (grant) => grant.demand)
-    const free = Math.max(0, limit - addUp(holders, (grant) => grant.amount))
+    const grants = findActiveGrants(name, now)
+    grants.delete(router)
+    const demand = Math.max(requested, MIN_DEMAND)
+    const totalDemand = demand + countTotal(grants, (grant) => grant.demand)
+    const available = Math.max(0, limit - countTotal(grants, (grant) => grant.amount))
     // A router gets its part by demand, and while nobody else asks for more, what is free.
     const fair = limit * (demand / totalDemand)
-    const amount = now < startsAt ? 0 : Math.min(free, Math.max(fair, Math.min(demand, free)))
+    const amount =
+      now < grantsStartAt ? 0 : Math.min(available, Math.max(fair, Math.min(demand, available)))
     const expiresAt = now + SHARE_TTL_MS
-    holders.set(router, { amount, demand, expiresAt })
-    const total = addUp(holders, (grant) => grant.amount)
+    grants.set(router, { amount, demand, expiresAt })
+    const total = countTotal(grants, (grant) => grant.amount)
     invariants.assert('limitSumKept', total <= limit + Number.EPSILON * limit * 8, () => ({
       limit: name,
       total,
@@ -99,7 +100,7 @@
         const amounts = LIMIT_KINDS.flatMap((kind) => {
           const limit = parameters?.[kind]
           if (limit === undefined) return []
-          return [[kind, grantOne(`${team}/${kind}`, router, limit, asked[kind] ?? 0)]]
+          return [[kind, grantShare(`${team}/${kind}`, router, limit, asked[kind] ?? 0)]]
         })
         return [team, Object.fromEntries(amounts)]
       })
@@ -107,7 +108,7 @@
     },
     reset: () => {
       limits.clear()
-      startsAt = timers.now() + SHARE_TTL_MS
+      grantsStartAt = timers.now() + SHARE_TTL_MS
     },
   }
 }
--- a/packages/control/src/state/claimState.ts
+++ b/packages/control/src/state/claimState.ts
@@ -140,7 +140,7 @@
     claims.set(dispatch.claim, { bodyHash, phase: 'dispatched', dispatch, at })
     return { kind: 'granted', dispatch }
   }
-  const answerKnown: Record<
+  const handleExisting: Record<
     ClaimPhase,
     (record: ClaimRecord, command: OpenClaim) => OpenClaimResult
   > = {
@@ -156,7 +156,7 @@
       const record = claims.get(formatClaimId(command.team, command.key))
       if (!record) return grant(command, 1)
       if (record.bodyHash !== command.bodyHash) return { kind: 'conflict' }
-      return answerKnown[record.phase](record, command)
+      return handleExisting[record.phase](record, command)
     },
     finish: (command) => settle(command, 'finished', command.answer),
     release: (command) => settle(command, 'released'),
--- a/packages/control/src/state/configState.ts
+++ b/packages/control/src/state/configState.ts
@@ -55,7 +55,7 @@
       readonly hash: string
     }
 
-interface FirstResult {
+interface StoredResult {
   readonly hash: string
   readonly result: SubmitConfigResult
 }
@@ -73,7 +73,7 @@
   readonly history: readonly ChangeRecord[]
   readonly sources: readonly (readonly [number, FleetConfigInput])[]
   readonly patches: readonly PatchRecord[]
-  readonly results: readonly (readonly [string, FirstResult])[]
+  readonly results: readonly (readonly [string, StoredResult])[]
 }
 
 /** Configuration with its history. */
@@ -107,7 +107,7 @@
   let history: ChangeRecord[] = []
   let patches: PatchRecord[] = []
   const sources = new Map<number, FleetConfigInput>()
-  const results = new Map<string, FirstResult>()
+  const results = new Map<string, StoredResult>()
 
   const accept = (
     command: SubmitConfig,
--- a/packages/control/src/state/controlMachine.ts
+++ b/packages/control/src/state/controlMachine.ts
@@ -143,7 +143,7 @@
   const loads = createWeightLoadState()
   const quarantine = createQuarantineState()
   const fleetChanges = new Subject<void>()
-  const announce = <T>(result: T): T => {
+  const emitFleetChange = <T>(result: T): T => {
     fleetChanges.next()
     return result
   }
@@ -160,12 +160,12 @@
     'claim.expire': claims.expire,
     'order.issue': orders.issue,
     'order.finish': orders.finish,
-    'table.put': (command) => announce(table.put(command)),
-    'weights.name': (command) => announce(weights.raiseVersion(command)),
-    'server.observe': (command) => announce(servers.observe(command)),
-    'server.retire': (command) => announce(servers.retire(command)),
-    'request.quarantine': (command) => announce(quarantine.quarantine(command)),
-    'request.release': (command) => announce(quarantine.release(command)),
+    'table.put': (command) => emitFleetChange(table.put(command)),
+    'weights.name': (command) => emitFleetChange(weights.raiseVersion(command)),
+    'server.observe': (command) => emitFleetChange(servers.observe(command)),
+    'server.retire': (command) => emitFleetChange(servers.retire(command)),
+    'request.quarantine': (command) => emitFleetChange(quarantine.quarantine(command)),
+    'request.release': (command) => emitFleetChange(quarantine.release(command)),
     'load.begin': loads.begin,
     'load.end': loads.end,
   }
--- a/packages/control/src/state/orderState.ts
+++ b/packages/control/src/state/orderState.ts
@@ -62,10 +62,10 @@
 /** Creates an empty state. */
 export function createOrderState(): OrderState {
   /** The open order of each backend server; a newer order replaces it. */
-  const open = new Map<BackendServerId, Order>()
-  const highest = new Map<BackendServerId, number>()
+  const openOrders = new Map<BackendServerId, Order>()
+  const highestFencing = new Map<BackendServerId, number>()
   const listLoading = (except: BackendServerId) =>
-    [...open.values()]
+    [...openOrders.values()]
       .filter((order) => order.action === 'loadWeights' && order.server !== except)
       .map(({ server }) => server)
 
@@ -75,23 +75,23 @@
       if (action === 'loadWeights' && held.length >= MAX_CONCURRENT_WEIGHT_LOADS)
         return { kind: 'noSlot', held }
       const order: Order = { server, action, value, fencing: index, at }
-      open.set(server, order)
-      highest.set(server, index)
+      openOrders.set(server, order)
+      highestFencing.set(server, index)
       return { kind: 'issued', order }
     },
     finish: ({ server, fencing }) => {
-      if (open.get(server)?.fencing !== fencing) return { isKnown: false }
-      open.delete(server)
+      if (openOrders.get(server)?.fencing !== fencing) return { isKnown: false }
+      openOrders.delete(server)
       return { isKnown: true }
     },
-    findHighestFencing: (server) => highest.get(server) ?? 0,
-    open: () => [...open.values()],
-    save: () => ({ open: [...open.values()], highest: [...highest] }),
+    findHighestFencing: (server) => highestFencing.get(server) ?? 0,
+    open: () => [...openOrders.values()],
+    save: () => ({ open: [...openOrders.values()], highest: [...highestFencing] }),
     load: (saved) => {
-      open.clear()
-      for (const order of saved.open) open.set(order.server, order)
-      highest.clear()
-      for (const [server, fencing] of saved.highest) highest.set(server, fencing)
+      openOrders.clear()
+      for (const order of saved.open) openOrders.set(order.server, order)
+      highestFencing.clear()
+      for (const [server, fencing] of saved.highest) highestFencing.set(server, fencing)
     },
   }
 }
--- a/packages/control/src/state/quarantineState.ts
+++ b/packages/control/src/state/quarantineState.ts
@@ -37,29 +37,29 @@
 
 /** Creates a state without requests. */
 export function createQuarantineState(): QuarantineState {
-  const held = createFingerprintMap<SuspectedRequest>(QUARANTINE_CAPACITY)
+  const quarantined = createFingerprintMap<SuspectedRequest>(QUARANTINE_CAPACITY)
   let revision = 0
-  const list = () => held.list().map(([, suspect]) => suspect)
+  const list = () => quarantined.list().map(([, suspect]) => suspect)
   return {
-    find: held.find,
+    find: quarantined.find,
     list,
     revision: () => revision,
     quarantine: ({ request, round }) => {
-      const before = held.find(request)
+      const before = quarantined.find(request)
       // An entry of an earlier leader may come after a later one.
       if (before && before.round > round) return null
       revision += 1
-      held.add(request, { request, round })
+      quarantined.add(request, { request, round })
       return null
     },
     release: ({ request }) => {
-      if (held.remove(request)) revision += 1
+      if (quarantined.remove(request)) revision += 1
       return null
     },
     save: list,
     load: (saved) => {
-      held.clear()
-      for (const suspect of saved) held.add(suspect.request, suspect)
+      quarantined.clear()
+      for (const suspect of saved) quarantined.add(suspect.request, suspect)
       revision += 1
     },
   }
--- a/packages/control/src/state/serverState.ts
+++ b/packages/control/src/state/serverState.ts
@@ -85,11 +85,11 @@
 }
 
 /** Start of a server that does not name its start. */
-const UNKNOWN_START = 0
+const UNKNOWN_START_TIME = 0
 /** Incarnations that left, kept so that a late heartbeat does not bring one back. */
 const MAX_RETIRED = 2_000
 /** Servers whose last start is kept, for the same reason: several times those of a large fleet. */
-const MAX_STARTS = 5_000
+const MAX_START_TIMES = 5_000
 
 const PHASE_ORDER: Record<ServerPhase, number> = { ready: 0, draining: 1, gone: 2 }
 
@@ -99,17 +99,17 @@
   startedAt: number | undefined,
 ): ServerIdentity {
   if (startedAt === undefined)
-    return { id: toBackendServerId(name), name, startedAt: UNKNOWN_START }
+    return { id: toBackendServerId(name), name, startedAt: UNKNOWN_START_TIME }
   return { id: toBackendServerId(`${name}@${startedAt}`), name, startedAt }
 }
 
 /** Whether it is known when a server started. */
 export function isStartTimeKnown({ startedAt }: ServerIdentity): boolean {
-  return startedAt !== UNKNOWN_START
+  return startedAt !== UNKNOWN_START_TIME
 }
 
 /** The later of two phases. */
-function chooseLater(a: ServerPhase, b: ServerPhase): ServerPhase {
+function chooseLaterPhase(a: ServerPhase, b: ServerPhase): ServerPhase {
   return PHASE_ORDER[a] >= PHASE_ORDER[b] ? a : b
 }
 
@@ -126,10 +126,10 @@
     const held = known.weights.find((other) => other.model === model)
     return { model, version: Math.max(version, held?.version ?? version) }
   })
-  return { ...server, weights, phase: chooseLater(server.phase, known.phase) }
+  return { ...server, weights, phase: chooseLaterPhase(server.phase, known.phase) }
 }
 
-function isSameWeights(a: readonly LoadedWeights[], b: readonly LoadedWeights[]): boolean {
+function isEqualWeights(a: readonly LoadedWeights[], b: readonly LoadedWeights[]): boolean {
   const isSame = ({ model, version }: LoadedWeights, index: number) =>
     b[index].model === model && b[index].version === version
   return a.length === b.length && a.every(isSame)
@@ -147,33 +147,33 @@
     a.hall === b.hall &&
     a.phase === b.phase &&
     a.slots === b.slots &&
-    isSameWeights(a.weights, b.weights)
+    isEqualWeights(a.weights, b.weights)
   )
 }
 
 function toRegisteredServer(saved: SavedServer): RegisteredServer {
-  return { name: saved.id as string as ServerName, startedAt: UNKNOWN_START, ...saved }
+  return { name: saved.id as string as ServerName, startedAt: UNKNOWN_START_TIME, ...saved }
 }
 
 /** Creates a state without servers. */
 export function createServerState(): ServerState {
   const servers = new Map<BackendServerId, RegisteredServer>()
   const retired = new Set<BackendServerId>()
-  const starts = new Map<ServerName, number>()
+  const startTimes = new Map<ServerName, number>()
   let revision = 0
 
   const findByName = (name: ServerName) =>
     [...servers.values()].find((server) => server.name === name)
-  const isOver = ({ id, name, startedAt }: ServerIdentity) =>
-    retired.has(id) || startedAt < (starts.get(name) ?? UNKNOWN_START)
-  const recordStart = ({ name, startedAt }: ServerIdentity) => {
-    if (startedAt === UNKNOWN_START) return
-    starts.delete(name)
-    starts.set(name, startedAt)
-    removeOldest(starts, MAX_STARTS)
+  const isIncarnationEnded = ({ id, name, startedAt }: ServerIdentity) =>
+    retired.has(id) || startedAt < (startTimes.get(name) ?? UNKNOWN_START_TIME)
+  const recordStartTime = ({ name, startedAt }: ServerIdentity) => {
+    if (startedAt === UNKNOWN_START_TIME) return
+    startTimes.delete(name)
+    startTimes.set(name, startedAt)
+    removeOldest(startTimes, MAX_START_TIMES)
   }
   /** Removes the earlier start of a server, and who had its address before. */
-  const removeReplaced = (server: RegisteredServer) => {
+  const removeSupersededServers = (server: RegisteredServer) => {
     for (const other of servers.values()) {
       const isSame = other.id === server.id
       const isReplaced = other.name === server.name || other.address === server.address
@@ -184,16 +184,16 @@
     find: (id) => servers.get(id),
     findByName,
     list: () => [...servers.values()],
-    isIncarnationEnded: isOver,
+    isIncarnationEnded: isIncarnationEnded,
     revision: () => revision,
     observe: ({ server: saved }) => {
       const server = toRegisteredServer(saved)
-      if (isOver(server)) return { phase: 'gone' }
+      if (isIncarnationEnded(server)) return { phase: 'gone' }
       revision += 1
-      recordStart(server)
+      recordStartTime(server)
       // One address belongs to one server. The other is not gone for good: this may be a late signal
       // of the one that had the address before, and the next heartbeat then puts it right.
-      removeReplaced(server)
+      removeSupersededServers(server)
       const merged = mergeServer(servers.get(server.id), server)
       servers.set(server.id, merged)
       return { phase: merged.phase }
@@ -209,14 +209,18 @@
       } else if (known) servers.set(id, { ...known, phase })
       return { phase }
     },
-    save: () => ({ servers: [...servers.values()], retired: [...retired], starts: [...starts] }),
+    save: () => ({
+      servers: [...servers.values()],
+      retired: [...retired],
+      starts: [...startTimes],
+    }),
     load: (saved) => {
       servers.clear()
       for (const server of saved.servers) servers.set(server.id, toRegisteredServer(server))
       retired.clear()
       for (const id of saved.retired) retired.add(id)
-      starts.clear()
-      for (const [name, startedAt] of saved.starts ?? []) starts.set(name, startedAt)
+      startTimes.clear()
+      for (const [name, startedAt] of saved.starts ?? []) startTimes.set(name, startedAt)
       revision += 1
     },
   }
--- a/packages/control/src/state/tableState.ts
+++ b/packages/control/src/state/tableState.ts
@@ -52,7 +52,7 @@
   load(saved: SavedTable | null): void
 }
 
-function toHeldTable(saved: SavedTable): VersionedTable {
+function toVersionedTable(saved: SavedTable): VersionedTable {
   if ('document' in saved) return saved
   const held = applyTableUpdate(undefined, saved)
   if (held) return held
@@ -62,25 +62,25 @@
 
 /** Creates a state without a table. */
 export function createTableState(): TableState {
-  let held: VersionedTable | undefined
+  let current: VersionedTable | undefined
 
-  const findNext = (command: PutTable): VersionedTable | undefined => {
-    if ('update' in command) return applyTableUpdate(held, command.update)
+  const buildNextTable = (command: PutTable): VersionedTable | undefined => {
+    if ('update' in command) return applyTableUpdate(current, command.update)
     return { version: command.version, document: command.document }
   }
   return {
-    current: () => held,
+    current: () => current,
     put: (command) => {
-      const before = held?.version ?? NO_TABLE_VERSION
-      if (held && command.version <= before) return { isNewer: false, version: before }
-      const next = findNext(command)
+      const before = current?.version ?? NO_TABLE_VERSION
+      if (current && command.version <= before) return { isNewer: false, version: before }
+      const next = buildNextTable(command)
       if (!next) return { isNewer: false, version: before, isBaseMissing: true }
-      held = next
+      current = next
       return { isNewer: true, version: next.version }
     },
-    save: () => (held ? buildTableUpdate(undefined, held) : null),
+    save: () => (current ? buildTableUpdate(undefined, current) : null),
     load: (saved) => {
-      held = saved ? toHeldTable(saved) : undefined
+      current = saved ? toVersionedTable(saved) : undefined
     },
   }
 }
--- a/packages/control/src/state/weightLoadState.ts
+++ b/packages/control/src/state/weightLoadState.ts
@@ -39,29 +39,29 @@
 }
 
 /** Engines whose marks are kept, the newest: several times those of a large fleet. */
-const MAX_MARKS = 2_000
+const MAX_TRACKED_SERVERS = 2_000
 
 /** Creates a state without loads. */
 export function createWeightLoadState(): WeightLoadState {
-  const marks = new Map<ServerName, WeightLoadStatus>()
+  const statuses = new Map<ServerName, WeightLoadStatus>()
   const changes = new Subject<ServerName>()
-  const setMark = (server: ServerName, mark: WeightLoadStatus) => {
-    marks.delete(server)
-    marks.set(server, mark)
-    removeOldest(marks, MAX_MARKS)
+  const setStatus = (server: ServerName, status: WeightLoadStatus) => {
+    statuses.delete(server)
+    statuses.set(server, status)
+    removeOldest(statuses, MAX_TRACKED_SERVERS)
     changes.next(server)
     return null
   }
   return {
-    find: (server) => marks.get(server),
-    list: () => [...marks],
+    find: (server) => statuses.get(server),
+    list: () => [...statuses],
     changes,
-    begin: ({ server }) => setMark(server, 'open'),
-    end: ({ server }) => setMark(server, 'ended'),
-    save: () => [...marks],
+    begin: ({ server }) => setStatus(server, 'open'),
+    end: ({ server }) => setStatus(server, 'ended'),
+    save: () => [...statuses],
     load: (saved) => {
-      marks.clear()
-      for (const [server, mark] of saved) setMark(server, mark)
+      statuses.clear()
+      for (const [server, mark] of saved) setStatus(server, mark)
     },
   }
 }
--- a/packages/control/src/state/weightsState.ts
+++ b/packages/control/src/state/weightsState.ts
@@ -24,19 +24,19 @@
 
 /** Creates a state without any named version. */
 export function createWeightsState(): WeightsState {
-  const wanted = new Map<string, number>()
+  const targetVersions = new Map<string, number>()
   return {
-    find: (model) => wanted.get(model),
-    list: () => Object.fromEntries(wanted),
+    find: (model) => targetVersions.get(model),
+    list: () => Object.fromEntries(targetVersions),
     raiseVersion: ({ model, version }) => {
-      const highest = Math.max(version, wanted.get(model) ?? version)
-      wanted.set(model, highest)
+      const highest = Math.max(version, targetVersions.get(model) ?? version)
+      targetVersions.set(model, highest)
       return { version: highest }
     },
-    save: () => Object.fromEntries(wanted),
+    save: () => Object.fromEntries(targetVersions),
     load: (saved) => {
-      wanted.clear()
-      for (const [model, version] of Object.entries(saved)) wanted.set(model, version)
+      targetVersions.clear()
+      for (const [model, version] of Object.entries(saved)) targetVersions.set(model, version)
     },
   }
 }
--- a/packages/control/src/table/tableHistory.ts
+++ b/packages/control/src/table/tableHistory.ts
@@ -28,7 +28,7 @@
  */
 const MAX_VERSIONS = 16
 /** Characters of all documents that are remembered: 16 of 5,000 routes, 1.3 MB each, or four of 4 MiB. */
-const MAX_CHARACTERS = 21_000_000
+const MAX_DOCUMENT_CHARACTERS = 21_000_000
 
 /** Creates a history that begins with the version held now. */
 export function createTableHistory({ current, changes }: TableHistoryOptions): TableHistory {
@@ -39,13 +39,14 @@
 
   const countCharacters = () =>
     [...versions.values()].reduce((sum, { document }) => sum + document.length, 0)
-  const isTooMuch = () => versions.size > MAX_VERSIONS || countCharacters() > MAX_CHARACTERS
+  const isOverLimit = () =>
+    versions.size > MAX_VERSIONS || countCharacters() > MAX_DOCUMENT_CHARACTERS
   const recordNewest = () => {
     const newest = current()
     if (!newest || versions.has(newest.version)) return
     versions.set(newest.version, newest)
     updates.clear()
-    while (versions.size > 1 && isTooMuch()) {
+    while (versions.size > 1 && isOverLimit()) {
       versions.delete(versions.keys().next().value as number)
     }
   }
--- a/packages/control/src/table/textPatch.ts
+++ b/packages/control/src/table/textPatch.ts
@@ -26,14 +26,14 @@
 }
 
 /** Finds where each segment of a text begins; of equal ones the first counts. */
-function findStarts(text: string): Map<string, number> {
-  const starts = new Map<string, number>()
+function findSegmentOffsets(text: string): Map<string, number> {
+  const offsets = new Map<string, number>()
   let start = 0
   for (const segment of splitSegments(text)) {
-    if (!starts.has(segment)) starts.set(segment, start)
+    if (!offsets.has(segment)) offsets.set(segment, start)
     start += segment.length
   }
-  return starts
+  return offsets
 }
 
 /**
@@ -41,16 +41,16 @@
  * change of one of them gives 0.6 KB.
  */
 export function buildTextPatch(before: string, after: string): TextPatch {
-  const starts = findStarts(before)
+  const offsets = findSegmentOffsets(before)
   const pieces: TextPiece[] = []
   let copied: { start: number; end: number } | undefined
   let added = ''
 
-  const finishCopied = () => {
+  const flushCopied = () => {
     if (copied) pieces.push([copied.start, copied.end])
     copied = undefined
   }
-  const finishAdded = () => {
+  const flushAdded = () => {
     if (added !== '') pieces.push(added)
     added = ''
   }
@@ -60,17 +60,17 @@
       copied.end += segment.length
       continue
     }
-    finishCopied()
-    const start = starts.get(segment)
+    flushCopied()
+    const start = offsets.get(segment)
     if (start === undefined) {
       added += segment
       continue
     }
-    finishAdded()
+    flushAdded()
     copied = { start, end: start + segment.length }
   }
-  finishCopied()
-  finishAdded()
+  flushCopied()
+  flushAdded()
   return pieces
 }
 
