--- a/packages/control/src/state/claimState.ts
+++ b/packages/control/src/state/claimState.ts
@@ -1,34 +1,34 @@
 /**
- * Claims of unrepeatable requests: who may run one, and what became of it. A claim names one
- * dispatch at a time, to one incarnation of one sidecar; another is given only after the first was
- * barred there.
+ * Replicated claims on non-repeatable requests: which dispatch may run the request, and its outcome. A claim holds
+ * one dispatch at a time, to one incarnation of one sidecar. The next dispatch is granted only after that sidecar
+ * has barred the previous one.
  */
 import type { BackendServerId, Incarnation, RequestId, TeamId } from '@spoolgate/core'
 import type { Dispatch } from '@spoolgate/routing'
 
-/** A dispatch with the backend server it goes to. */
+/** A dispatch and the backend server it is sent to. */
 export interface ClaimedDispatch extends Dispatch {
   readonly server: BackendServerId
-  /** Request that was given the dispatch. */
+  /** Request to which the dispatch was granted. */
   readonly request: RequestId
 }
 
-/** Answer that is kept for resends. */
+/** Response that is stored and replayed to resends of the request. */
 export interface StoredResponse {
   readonly status: number
   readonly contentType: string
-  /** Body; base64 when `isBase64`. */
+  /** Body; base64-encoded when `isBase64` is set. */
   readonly body: string
   readonly isBase64: boolean
 }
 
-/** Asks for the right to run a request. */
+/** Requests permission to run a non-repeatable request. */
 export interface OpenClaim {
   readonly kind: 'claim.open'
   readonly team: TeamId
-  /** Idempotency key of the caller. */
+  /** Idempotency key sent by the caller. */
   readonly key: string
-  /** Hash of method, path and body. */
+  /** Hash of the method, path and body. */
   readonly bodyHash: string
   readonly request: RequestId
   readonly server: BackendServerId
@@ -36,17 +36,17 @@
   readonly at: number
 }
 
-/** Keeps the answer of a dispatch. */
+/** Completes a dispatch and stores its response. */
 export interface FinishClaim {
   readonly kind: 'claim.finish'
   readonly claim: string
   readonly number: number
-  /** Undefined when the answer was too large to keep. */
+  /** Undefined when the response was too large to store. */
   readonly answer: StoredResponse | undefined
   readonly at: number
 }
 
-/** Says that a dispatch was barred, or refused before it ran, so that another may be given. */
+/** Records that a dispatch was barred, or refused before it ran, so that another may be granted. */
 export interface ReleaseClaim {
   readonly kind: 'claim.release'
   readonly claim: string
@@ -54,7 +54,7 @@
   readonly at: number
 }
 
-/** Says that nobody can tell whether a dispatch ran. */
+/** Records that it cannot be determined whether a dispatch ran. */
 export interface LoseClaim {
   readonly kind: 'claim.lose'
   readonly claim: string
@@ -62,14 +62,14 @@
   readonly at: number
 }
 
-/** Forgets settled claims that were last touched before an instant. */
+/** Deletes settled claims that were last updated before a point in time. */
 export interface ExpireClaims {
   readonly kind: 'claim.expire'
   readonly before: number
   readonly at: number
 }
 
-/** What became of {@link OpenClaim}. */
+/** Result of {@link OpenClaim}. */
 export type OpenClaimResult =
   | { readonly kind: 'granted'; readonly dispatch: ClaimedDispatch }
   | { readonly kind: 'running'; readonly dispatch: ClaimedDispatch }
@@ -77,9 +77,9 @@
   | { readonly kind: 'conflict' }
   | { readonly kind: 'unknown' }
 
-/** What became of the other claim commands. */
+/** Result of the commands that settle a claim. */
 export interface SettleClaimResult {
-  /** False when the claim was settled otherwise before, or is not known. */
+  /** False when the claim is unknown or already has a different outcome. */
   readonly isSettled: boolean
 }
 
@@ -93,10 +93,10 @@
   at: number
 }
 
-/** State as a snapshot holds it. */
+/** State as stored in a snapshot. */
 export type SavedClaims = readonly (readonly [string, ClaimRecord])[]
 
-/** All claims. */
+/** Replicated state of all claims. */
 export interface ClaimState {
   open(command: OpenClaim): OpenClaimResult
   finish(command: FinishClaim): SettleClaimResult
@@ -108,7 +108,7 @@
   load(saved: SavedClaims): void
 }
 
-/** Formats the name of a claim. */
+/** Formats the identifier of a claim. */
 export function formatClaimId(team: TeamId, key: string): string {
   return `${team}/${key}`
 }
@@ -118,7 +118,7 @@
   return { claim: formatClaimId(team, key), number, server, incarnation, request }
 }
 
-/** Creates an empty state. */
+/** Creates a state without claims. */
 export function createClaimState(): ClaimState {
   const claims = new Map<string, ClaimRecord>()
 
@@ -171,7 +171,7 @@
       return { removed }
     },
     size: () => claims.size,
-    // Records change in place, and a snapshot is written while later commands are applied.
+    // Copied, because records are modified in place and later commands are applied while a snapshot is written.
     save: () => [...claims].map(([name, record]) => [name, { ...record }] as const),
     load: (saved) => {
       claims.clear()
--- a/packages/control/src/state/configState.ts
+++ b/packages/control/src/state/configState.ts
@@ -1,4 +1,4 @@
-/** The part of the replicated state that holds the fleet configuration and its history. */
+/** Replicated fleet configuration with its change history. */
 import type { FleetConfigInput } from '@spoolgate/config'
 import { removeOldest } from '@spoolgate/core'
 import {
@@ -9,33 +9,33 @@
   type FleetPatch,
 } from './fleetPatch.js'
 
-/** Submits a configuration. */
+/** Submits a new configuration. */
 export interface SubmitConfig {
   readonly kind: 'config.submit'
-  /** Names the change; a resend with the same name gets the first result. */
+  /** Identifies the change; a resend with the same identifier gets the result of the first submission. */
   readonly changeId: string
-  /** Version that the change was made against. */
+  /** Version on which the change is based. */
   readonly base: number
   readonly operator: string
   readonly source: FleetConfigInput
-  /** Wall-clock time of acceptance, in ms since the Unix epoch. */
+  /** Wall-clock time at which the leader received the change, in ms since the Unix epoch. */
   readonly at: number
 }
 
-/** What became of a submitted configuration. */
+/** Result of a submitted configuration. */
 export type SubmitConfigResult =
   | { readonly kind: 'accepted'; readonly version: number; readonly touched: readonly string[] }
   | {
       readonly kind: 'conflict'
-      /** Version that won. */
+      /** Version in force, which was accepted before this change. */
       readonly version: number
       readonly winner: ChangeRecord | undefined
-      /** Where the winner and the refused change differ. */
+      /** Items in which the version in force and the refused change differ. */
       readonly differs: readonly string[]
     }
   | { readonly kind: 'changeIdReused'; readonly version: number }
 
-/** One accepted change. */
+/** An accepted change. */
 export interface ChangeRecord {
   readonly version: number
   readonly changeId: string
@@ -44,14 +44,14 @@
   readonly touched: readonly string[]
 }
 
-/** Configuration as nodes fetch it: whole, or as the patches since the version they hold. */
+/** Configuration update for a node: the full configuration, or the patches since the node's version. */
 export type ConfigUpdate =
   | { readonly kind: 'whole'; readonly version: number; readonly source: FleetConfigInput }
   | {
       readonly kind: 'patches'
       readonly version: number
       readonly patches: readonly FleetPatch[]
-      /** Hash of the result, to be checked before it is used. */
+      /** Hash of the patched configuration; the node verifies it before it installs the result. */
       readonly hash: string
     }
 
@@ -66,7 +66,7 @@
   readonly patch: FleetPatch
 }
 
-/** State as a snapshot holds it. */
+/** State as stored in a snapshot. */
 export interface SavedConfig {
   readonly version: number
   readonly source: FleetConfigInput
@@ -76,30 +76,30 @@
   readonly results: readonly (readonly [string, StoredResult])[]
 }
 
-/** Configuration with its history. */
+/** Current configuration and its history. */
 export interface ConfigState {
   version(): number
   source(): FleetConfigInput
   submit(command: SubmitConfig, index: number): SubmitConfigResult
-  /** Builds what a node at `after` needs; undefined when it is up to date. */
+  /** Builds the update for a node at version `after`; undefined when the node is up to date. */
   buildUpdate(after: number): ConfigUpdate | undefined
   history(): readonly ChangeRecord[]
-  /** Finds the content of an earlier version, while it is kept. */
+  /** Finds the content of an earlier version; undefined when it is no longer stored. */
   findSource(version: number): FleetConfigInput | undefined
   save(): SavedConfig
   load(saved: SavedConfig): void
 }
 
-/** Changes listed in the history, about a week at 860 a day. */
+/** Changes kept in the history: about one week at 860 changes a day. */
 const MAX_HISTORY = 6_000
-/** Earlier contents kept for comparison and for rolling forward to them. */
+/** Earlier configurations kept for diffs and for resubmitting one of them. */
 const MAX_SOURCES = 20
-/** Patches kept for nodes that lag behind; an older node gets the whole. */
+/** Patches kept for nodes that lag behind; a node that is further behind gets the full configuration. */
 const MAX_PATCHES = 256
-/** First results kept for resent changes. */
+/** Results kept so that resent changes get the result of the first submission. */
 const MAX_RESULTS = 10_000
 
-/** Creates an empty state at version 0. */
+/** Creates an empty configuration at version 0. */
 export function createConfigState(): ConfigState {
   let version = 0
   let source: FleetConfigInput = toCanonicalForm({})
--- a/packages/control/src/state/controlMachine.ts
+++ b/packages/control/src/state/controlMachine.ts
@@ -1,6 +1,6 @@
 /**
- * The replicated machine: configuration, claims, orders, routing table, weights and registered
- * servers, driven by typed commands.
+ * Replicated state machine of the control group: configuration, claims, orders, routing table, weights, weight loads,
+ * registered servers and quarantined requests. Typed commands from the log change it.
  */
 import { Subject, type Observable } from 'rxjs'
 import type { ReplicatedMachine } from '../raft/types.js'
@@ -67,7 +67,7 @@
   type WeightsState,
 } from './weightsState.js'
 
-/** Commands by kind, each with its result. */
+/** Command and result types by command kind. */
 export interface ControlCommands {
   'config.submit': { command: SubmitConfig; result: SubmitConfigResult }
   'claim.open': { command: OpenClaim; result: OpenClaimResult }
@@ -87,26 +87,26 @@
   'load.end': { command: EndWeightLoad; result: null }
 }
 
-/** Kind of a command. */
+/** Kind of a control command. */
 export type ControlCommandKind = keyof ControlCommands
-/** Any command. */
+/** Any control command. */
 export type ControlCommand = ControlCommands[ControlCommandKind]['command']
-/** Result of a command. */
+/** Result type of a command kind. */
 export type ControlResult<Kind extends ControlCommandKind> = ControlCommands[Kind]['result']
 
-/** The machine with its parts. */
+/** The state machine and its component states. */
 export interface ControlStateMachine extends ReplicatedMachine {
   readonly config: ConfigState
   readonly claims: ClaimState
   readonly orders: OrderState
-  /** Emits the version after each accepted configuration. */
+  /** Emits the new version after each accepted configuration. */
   readonly configVersions: Observable<number>
   readonly table: TableState
   readonly weights: WeightsState
   readonly servers: ServerState
   readonly weightLoads: WeightLoadState
   readonly quarantine: QuarantineState
-  /** Emits after each command that changed the table, the weights, the servers or the requests in quarantine. */
+  /** Emits after each command on the routing table, weights, registered servers or quarantined requests. */
   readonly fleetChanges: Observable<void>
 }
 
@@ -114,13 +114,13 @@
   readonly config: SavedConfig
   readonly claims: SavedClaims
   readonly orders: SavedOrders
-  /** These three are missing in snapshots of versions before 0.2. */
+  /** `table`, `weights` and `servers` are absent from snapshots written before version 0.2. */
   readonly table?: SavedTable | null
   readonly weights?: Readonly<Record<string, number>>
   readonly servers?: SavedServers
-  /** Missing in snapshots of versions before 0.3. */
+  /** Absent from snapshots written before version 0.3. */
   readonly loads?: SavedWeightLoads
-  /** Missing in snapshots of versions before 0.5. */
+  /** Absent from snapshots written before version 0.5. */
   readonly quarantine?: readonly SuspectedRequest[]
 }
 
@@ -131,7 +131,7 @@
   ) => ControlResult<Kind>
 }
 
-/** Creates an empty machine. */
+/** Creates an empty state machine. */
 export function createControlStateMachine(): ControlStateMachine {
   const config = createConfigState()
   const claims = createClaimState()
--- a/packages/control/src/state/fleetPatch.ts
+++ b/packages/control/src/state/fleetPatch.ts
@@ -1,23 +1,23 @@
 /**
- * Differences between two fleet configurations. Most changes touch one team or one backend server;
- * sending the difference instead of the whole keeps a change under a kilobyte for each node.
+ * Patches between two fleet configurations. Most changes affect one team or one backend server; a patch instead of
+ * the full configuration keeps the transfer to each node below 1 KB.
  */
 import { createHash } from 'node:crypto'
 import type { FleetConfigInput } from '@spoolgate/config'
 
-/** Sections that are lists of items with an id. */
+/** Sections that are lists of items with an id, patched item by item. */
 const LIST_SECTIONS = ['models', 'backendServers', 'templates', 'teams'] as const
-/** Sections that are replaced whole. */
+/** Sections that are replaced as a unit. */
 const ATOMIC_SECTIONS = ['services', 'routing'] as const
 
 type ListSection = (typeof LIST_SECTIONS)[number]
 type AtomicSection = (typeof ATOMIC_SECTIONS)[number]
 type Item = { readonly id: string }
 
-/** Items by id that were set, or null where they were removed. */
+/** Added or changed items by id; null for removed items. */
 type ListPatch = Readonly<Record<string, Item | null>>
 
-/** What turns one configuration into the next. */
+/** Changes that turn one configuration into the next. */
 export type FleetPatch = { readonly [K in ListSection]?: ListPatch } & {
   readonly [K in AtomicSection]?: unknown
 }
@@ -30,7 +30,7 @@
   return JSON.stringify(a) === JSON.stringify(b)
 }
 
-/** Brings a configuration into one order, so that equal content has equal text. */
+/** Orders sections and items, so that equal configurations serialise to the same JSON. */
 export function toCanonicalForm(config: FleetConfigInput): FleetConfigInput {
   const lists = LIST_SECTIONS.map((name) => {
     const items = [...listItems(config, name)].sort((a, b) => (a.id < b.id ? -1 : 1))
@@ -40,7 +40,7 @@
   return Object.fromEntries([...lists, ...wholes.map((name) => [name, config[name]])])
 }
 
-/** Hashes a configuration in normal form. */
+/** Hashes a configuration in canonical form. */
 export function hashFleet(config: FleetConfigInput): string {
   return createHash('sha256').update(JSON.stringify(config)).digest('base64url')
 }
@@ -56,7 +56,7 @@
   return patch
 }
 
-/** Compares two configurations in normal form. */
+/** Builds the patch between two configurations in canonical form. */
 export function buildFleetPatch(before: FleetConfigInput, after: FleetConfigInput): FleetPatch {
   const patch: Record<string, unknown> = {}
   for (const name of LIST_SECTIONS) {
@@ -69,7 +69,7 @@
   return patch as FleetPatch
 }
 
-/** Applies a patch to a configuration in normal form. */
+/** Applies a patch to a configuration in canonical form. */
 export function applyFleetPatch(config: FleetConfigInput, patch: FleetPatch): FleetConfigInput {
   const next: Record<string, unknown> = { ...config }
   for (const name of LIST_SECTIONS) {
@@ -90,7 +90,7 @@
   return toCanonicalForm(next as FleetConfigInput)
 }
 
-/** Lists what a patch touches, as `section/id`. */
+/** Lists the items that a patch changes, as `section/id`, or `section` for sections replaced as a unit. */
 export function listPatchedItems(patch: FleetPatch): string[] {
   const items = LIST_SECTIONS.flatMap((name) =>
     Object.keys(patch[name] ?? {}).map((id) => `${name}/${id}`),
--- a/packages/control/src/state/orderState.ts
+++ b/packages/control/src/state/orderState.ts
@@ -1,10 +1,10 @@
 /**
- * Orders to backend servers. The log index of an order is its fencing number, so that no two
- * leaders can ever issue the same or a lower one. Weight loads hold one of a few slots.
+ * Replicated orders to backend servers. The log index of an order is its fencing number, so that no later leader can
+ * issue the same number or a lower one. Each weight load occupies one of a limited number of slots.
  */
 import type { BackendServerId } from '@spoolgate/core'
 
-/** What a backend server can be ordered to do. */
+/** Action that a backend server can be ordered to perform. */
 export type OrderAction = 'loadWeights' | 'loadAdapter' | 'changeRole'
 
 /** Issues an order. */
@@ -16,7 +16,7 @@
   readonly at: number
 }
 
-/** Says how an order ended. */
+/** Records the outcome of an order. */
 export interface FinishOrder {
   readonly kind: 'order.finish'
   readonly server: BackendServerId
@@ -34,34 +34,34 @@
   readonly at: number
 }
 
-/** What became of {@link IssueOrder}. */
+/** Result of {@link IssueOrder}. */
 export type IssueOrderResult =
   | { readonly kind: 'issued'; readonly order: Order }
   | { readonly kind: 'noSlot'; readonly held: readonly BackendServerId[] }
 
-/** State as a snapshot holds it. */
+/** State as stored in a snapshot. */
 export interface SavedOrders {
   readonly open: readonly Order[]
   readonly highest: readonly (readonly [BackendServerId, number])[]
 }
 
-/** All open orders and the highest fencing number of each backend server. */
+/** Open orders, and the highest fencing number of each backend server. */
 export interface OrderState {
   issue(command: IssueOrder, index: number): IssueOrderResult
   finish(command: FinishOrder): { readonly isKnown: boolean }
-  /** Highest fencing number that was ever issued to a backend server. */
+  /** Highest fencing number issued to a backend server; 0 before the first order. */
   findHighestFencing(server: BackendServerId): number
   open(): readonly Order[]
   save(): SavedOrders
   load(saved: SavedOrders): void
 }
 
-/** Weight loads at a time: the platform slows down beyond this. */
+/** Maximum number of concurrent weight loads; with more, the platform slows down. */
 export const MAX_CONCURRENT_WEIGHT_LOADS = 2
 
-/** Creates an empty state. */
+/** Creates a state without orders. */
 export function createOrderState(): OrderState {
-  /** The open order of each backend server; a newer order replaces it. */
+  /** Open order of each backend server; a newer order replaces it. */
   const openOrders = new Map<BackendServerId, Order>()
   const highestFencing = new Map<BackendServerId, number>()
   const listLoading = (except: BackendServerId) =>
--- a/packages/control/src/state/quarantineState.ts
+++ b/packages/control/src/state/quarantineState.ts
@@ -1,27 +1,27 @@
 /**
- * The part of the replicated state that holds the requests which routers refuse, since servers ended under them. It outlives
- * routers and leaders, to which a request that comes again would else be new.
+ * Replicated list of quarantined requests, which routers refuse because servers crashed while processing them. It is
+ * replicated so that a request stays in quarantine across restarts of routers and changes of leader.
  */
 import type { RequestFingerprint } from '@spoolgate/core'
 import { createFingerprintMap } from '../quarantine/fingerprintMap.js'
 import type { SuspectedRequest } from '../quarantine/crashReport.js'
 
-/** Puts a request into quarantine, or into the next round of it. */
+/** Quarantines a request, or starts its next quarantine round. */
 export interface QuarantineRequest extends SuspectedRequest {
   readonly kind: 'request.quarantine'
 }
 
-/** Ends the quarantine of a request that was answered. */
+/** Releases a request from quarantine after it was answered. */
 export interface ReleaseRequest {
   readonly kind: 'request.release'
   readonly request: RequestFingerprint
 }
 
-/** Requests in quarantine. */
+/** Quarantined requests. */
 export interface QuarantineState {
   find(request: RequestFingerprint): SuspectedRequest | undefined
   list(): readonly SuspectedRequest[]
-  /** Rises with each change. */
+  /** Increases with each change. */
   revision(): number
   quarantine(command: QuarantineRequest): null
   release(command: ReleaseRequest): null
@@ -30,12 +30,12 @@
 }
 
 /**
- * Requests that are kept: of each caller, and callers. A caller's servers have ended 192 times by then. All together take 1.5 MB
- * in a snapshot at 48 bytes each, a fortieth of the users' disks.
+ * Maximum number of quarantined requests per caller, and of callers. A caller reaches its limit after 192 server
+ * crashes. A full list takes 1.5 MB of a snapshot at 48 bytes per request, 1/40 of the users' disk space.
  */
 export const QUARANTINE_CAPACITY = { maxPerCaller: 64, maxCallers: 512 }
 
-/** Creates a state without requests. */
+/** Creates a state without quarantined requests. */
 export function createQuarantineState(): QuarantineState {
   const quarantined = createFingerprintMap<SuspectedRequest>(QUARANTINE_CAPACITY)
   let revision = 0
@@ -46,7 +46,7 @@
     revision: () => revision,
     quarantine: ({ request, round }) => {
       const before = quarantined.find(request)
-      // An entry of an earlier leader may come after a later one.
+      // An entry proposed by an earlier leader may be applied after a later round; ignore it.
       if (before && before.round > round) return null
       revision += 1
       quarantined.add(request, { request, round })
--- a/packages/control/src/state/serverState.ts
+++ b/packages/control/src/state/serverState.ts
@@ -1,6 +1,6 @@
 /**
- * The part of the replicated state that holds the backend servers which registered themselves. Only
- * what a router must know survives here; the time of a server's last heartbeat is soft state of the leader.
+ * Replicated registry of backend servers that registered themselves. It holds only what routers need; the time of a
+ * server's last heartbeat is soft state of the leader.
  */
 import {
   removeOldest,
@@ -9,74 +9,74 @@
   type ServerName,
 } from '@spoolgate/core'
 
-/** Phase in the life of one incarnation of a backend server; it only moves forward. */
+/** Lifecycle phase of one incarnation of a backend server; it only advances. */
 export type ServerPhase = 'ready' | 'draining' | 'gone'
 
-/** Weights that a backend server holds. */
+/** Weights loaded by a backend server. */
 export interface LoadedWeights {
   readonly model: string
   readonly version: number
 }
 
-/** Which server, and which of its starts. */
+/** Identifies a server and one of its incarnations. */
 export interface ServerIdentity {
-  /** Unique for each start of the server's process. */
+  /** Unique for each start of the server process. */
   readonly id: BackendServerId
-  /** The same after a restart. */
+  /** Unchanged by a restart. */
   readonly name: ServerName
-  /** When it started, in ms since the Unix epoch by its own clock; 0 where it does not name it. */
+  /** Start time by the server's own clock, in ms since the Unix epoch; 0 when the server does not report it. */
   readonly startedAt: number
 }
 
-/** One incarnation of a backend server, as its heartbeats describe it. */
+/** One incarnation of a backend server, as reported by its heartbeats. */
 export interface RegisteredServer extends ServerIdentity {
   readonly group: string
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string
   readonly hall: string
   readonly phase: ServerPhase
-  /** Requests that it works on at a time. */
+  /** Maximum number of requests processed concurrently. */
   readonly slots: number
   readonly weights: readonly LoadedWeights[]
 }
 
-/** Records what a heartbeat says of a server. */
+/** Records the server data of a heartbeat. */
 export interface ObserveServer {
   readonly kind: 'server.observe'
   readonly server: RegisteredServer
 }
 
-/** Records that an incarnation is leaving or has left. */
+/** Records that an incarnation is draining or has left. */
 export interface RetireServer {
   readonly kind: 'server.retire'
   readonly id: BackendServerId
   readonly phase: 'draining' | 'gone'
 }
 
-/** What became of either command. */
+/** Result of {@link ObserveServer} and {@link RetireServer}. */
 export interface ServerResult {
   readonly phase: ServerPhase
 }
 
-/** A server as logs of versions before 0.4 hold it: its name was its id. */
+/** A stored server; before version 0.4 it had no `name` or `startedAt`, and its id was its name. */
 type SavedServer = Omit<RegisteredServer, 'name' | 'startedAt'> & Partial<ServerIdentity>
 
-/** State as a snapshot holds it. */
+/** State as stored in a snapshot. */
 export interface SavedServers {
   readonly servers: readonly SavedServer[]
   readonly retired: readonly BackendServerId[]
-  /** Last start of each server; missing before version 0.4. */
+  /** Latest start time of each server; absent from snapshots written before version 0.4. */
   readonly starts?: readonly (readonly [ServerName, number])[]
 }
 
-/** Servers that registered and have not left. */
+/** Registered servers that have not left. */
 export interface ServerState {
   find(id: BackendServerId): RegisteredServer | undefined
   findByName(name: ServerName): RegisteredServer | undefined
   list(): readonly RegisteredServer[]
-  /** Whether an incarnation is over: it has left, or its server has started again. It never returns. */
+  /** Whether an incarnation has left or its server has restarted. An ended incarnation never returns. */
   isIncarnationEnded(identity: ServerIdentity): boolean
-  /** Rises with each change. */
+  /** Increases with each change. */
   revision(): number
   observe(command: ObserveServer): ServerResult
   retire(command: RetireServer): ServerResult
@@ -84,16 +84,16 @@
   load(saved: SavedServers): void
 }
 
-/** Start of a server that does not name its start. */
+/** Start time of a server that does not report it. */
 const UNKNOWN_START_TIME = 0
-/** Incarnations that left, kept so that a late heartbeat does not bring one back. */
+/** Incarnations that left; they are kept so that a late heartbeat does not register one again. */
 const MAX_RETIRED = 2_000
-/** Servers whose last start is kept, for the same reason: several times those of a large fleet. */
+/** Servers whose latest start time is kept, for the same reason: several times the size of a large fleet. */
 const MAX_START_TIMES = 5_000
 
 const PHASE_ORDER: Record<ServerPhase, number> = { ready: 0, draining: 1, gone: 2 }
 
-/** Builds the identity of one start of a server; `startedAt` is undefined where it is not named. */
+/** Builds the identity of an incarnation; `startedAt` is undefined when the server does not report it. */
 export function buildServerIdentity(
   name: ServerName,
   startedAt: number | undefined,
@@ -103,19 +103,18 @@
   return { id: toBackendServerId(`${name}@${startedAt}`), name, startedAt }
 }
 
-/** Whether it is known when a server started. */
+/** Whether the server reported its start time. */
 export function isStartTimeKnown({ startedAt }: ServerIdentity): boolean {
   return startedAt !== UNKNOWN_START_TIME
 }
 
-/** The later of two phases. */
 function chooseLaterPhase(a: ServerPhase, b: ServerPhase): ServerPhase {
   return PHASE_ORDER[a] >= PHASE_ORDER[b] ? a : b
 }
 
 /**
- * Merges what a heartbeat says into what is known of the same incarnation: phases only move forward
- * and weights only rise, so that a heartbeat which comes late changes nothing back.
+ * Merges the data of a heartbeat into the registration of the same incarnation. Phases only advance and weights
+ * versions only increase, so that a late heartbeat reverts nothing.
  */
 export function mergeServer(
   known: RegisteredServer | undefined,
@@ -136,8 +135,8 @@
 }
 
 /**
- * Whether two heartbeats of one incarnation say the same. Compared field by field, since their texts may differ in the
- * order of fields.
+ * Whether two heartbeats of one incarnation report the same data. Fields are compared one by one, because the order
+ * of properties in the JSON may differ.
  */
 export function isSameRegistration(a: RegisteredServer, b: RegisteredServer): boolean {
   return (
@@ -155,7 +154,7 @@
   return { name: saved.id as string as ServerName, startedAt: UNKNOWN_START_TIME, ...saved }
 }
 
-/** Creates a state without servers. */
+/** Creates an empty registry. */
 export function createServerState(): ServerState {
   const servers = new Map<BackendServerId, RegisteredServer>()
   const retired = new Set<BackendServerId>()
@@ -172,7 +171,7 @@
     startTimes.set(name, startedAt)
     removeOldest(startTimes, MAX_START_TIMES)
   }
-  /** Removes the earlier start of a server, and who had its address before. */
+  /** Removes the earlier incarnation of a server and any other server registered at its address. */
   const removeSupersededServers = (server: RegisteredServer) => {
     for (const other of servers.values()) {
       const isSame = other.id === server.id
@@ -191,8 +190,8 @@
       if (isIncarnationEnded(server)) return { phase: 'gone' }
       revision += 1
       recordStartTime(server)
-      // One address belongs to one server. The other is not gone for good: this may be a late signal
-      // of the one that had the address before, and the next heartbeat then puts it right.
+      // An address belongs to one server. The other server is not retired: this may be a late heartbeat of the
+      // previous owner of the address, and the next heartbeat of the current owner then corrects the registry.
       removeSupersededServers(server)
       const merged = mergeServer(servers.get(server.id), server)
       servers.set(server.id, merged)
--- a/packages/control/src/state/tableState.ts
+++ b/packages/control/src/state/tableState.ts
@@ -1,6 +1,6 @@
 /**
- * The part of the replicated state that holds the operators' routing table. The document is kept as
- * it was sent, so that reading it back returns the same text; the highest version holds.
+ * Replicated routing table of the operators. The document is stored as it was sent, so that reading it returns the
+ * same text. The highest version is in force.
  */
 import {
   applyTableUpdate,
@@ -10,42 +10,42 @@
   type TableUpdate,
 } from '../table/tableUpdate.js'
 
-/** Puts a routing table. The document was checked before it was proposed. */
+/** Stores a routing table. The document is validated before the command is proposed. */
 export type PutTable = PutTableUpdate | PutTableDocument
 
-/** As it is proposed: what changes against the version that is held where the entry is applied. */
+/** Current format: an update that applies to the version stored when the entry is applied. */
 export interface PutTableUpdate {
   readonly kind: 'table.put'
   readonly version: number
   readonly update: TableUpdate
 }
 
-/** As logs of versions before 0.4 hold it. */
+/** Format in logs written before version 0.4: the full document. */
 export interface PutTableDocument {
   readonly kind: 'table.put'
   readonly version: number
   readonly document: string
 }
 
-/** What became of {@link PutTable}. */
+/** Result of {@link PutTable}. */
 export interface PutTableResult {
-  /** False when the version held is as high or higher; nothing changed then. */
+  /** Whether the table was stored; false when the stored version is as high, or when the update did not apply. */
   readonly isNewer: boolean
-  /** Version held afterwards. */
+  /** Version stored after the command. */
   readonly version: number
   /**
-   * True when the update was built against another version than the one held: another change came
-   * between. Nothing changed, and the change must be proposed once more.
+   * True when the update was built against a version other than the stored one, because another change was applied
+   * first. Nothing changed, and the change must be proposed again.
    */
   readonly isBaseMissing?: boolean
 }
 
-/** The table as a snapshot holds it; before version 0.4 it was the document itself. */
+/** Table as stored in a snapshot; before version 0.4, the version with its full document. */
 export type SavedTable = TableUpdate | VersionedTable
 
-/** The table held. */
+/** Current routing table. */
 export interface TableState {
-  /** Undefined before the first. */
+  /** Undefined until a table is stored. */
   current(): VersionedTable | undefined
   put(command: PutTable): PutTableResult
   save(): SavedTable | null
@@ -56,11 +56,11 @@
   if ('document' in saved) return saved
   const held = applyTableUpdate(undefined, saved)
   if (held) return held
-  // The snapshot's own checksum was right, so this is a fault of the program and not of the disk.
-  throw new Error(`the table of version ${saved.version} in the snapshot cannot be unpacked`)
+  // The checksum of the snapshot matched, so this is a software error rather than disk corruption.
+  throw new Error(`cannot decode routing table version ${saved.version} from the snapshot`)
 }
 
-/** Creates a state without a table. */
+/** Creates a state without a routing table. */
 export function createTableState(): TableState {
   let current: VersionedTable | undefined
 
--- a/packages/control/src/state/weightLoadState.ts
+++ b/packages/control/src/state/weightLoadState.ts
@@ -1,36 +1,35 @@
 /**
- * The part of the replicated state that says where loads of weights were begun and ended. A leader
- * notes the beginning before its first order to an engine, so that the next leader knows which
- * engines the one before may still be giving orders to. A mark outlives a restart of its engine: an order
- * that is in flight reaches whichever start is there when it arrives.
+ * Replicated status of weight loads by engine. A leader records the start before it sends the first order to an
+ * engine, so that the next leader knows to which engines its predecessor may still be sending orders. The status
+ * survives a restart of the engine, because an order in flight reaches whichever incarnation runs when it arrives.
  */
 import { removeOldest, type ServerName } from '@spoolgate/core'
 import { Subject, type Observable } from 'rxjs'
 
-/** Notes that a leader is about to order an engine to load weights. */
+/** Records that the leader is about to order an engine to load weights. */
 export interface BeginWeightLoad {
   readonly kind: 'load.begin'
   readonly server: ServerName
 }
 
-/** Notes that the leader will send the engine no more orders, and that all were answered. */
+/** Records that the leader will send the engine no more orders and that all sent orders were answered. */
 export interface EndWeightLoad {
   readonly kind: 'load.end'
   readonly server: ServerName
 }
 
-/** How far the last load of an engine has come. */
+/** Status of the last weight load of an engine. */
 export type WeightLoadStatus = 'open' | 'ended'
 
-/** State as a snapshot holds it. */
+/** State as stored in a snapshot. */
 export type SavedWeightLoads = readonly (readonly [ServerName, WeightLoadStatus])[]
 
-/** Loads of weights by engine. */
+/** Weight loads by engine. */
 export interface WeightLoadState {
-  /** Finds the mark of an engine; undefined where nobody ever ordered it to load. */
+  /** Finds the status of an engine; undefined when no load is recorded for it. */
   find(server: ServerName): WeightLoadStatus | undefined
   list(): SavedWeightLoads
-  /** Emits the engine of each mark that is set. */
+  /** Emits the engine of each status that is set. */
   readonly changes: Observable<ServerName>
   begin(command: BeginWeightLoad): null
   end(command: EndWeightLoad): null
@@ -38,10 +37,10 @@
   load(saved: SavedWeightLoads): void
 }
 
-/** Engines whose marks are kept, the newest: several times those of a large fleet. */
+/** Engines whose status is kept, most recently updated first: several times the size of a large fleet. */
 const MAX_TRACKED_SERVERS = 2_000
 
-/** Creates a state without loads. */
+/** Creates a state without weight loads. */
 export function createWeightLoadState(): WeightLoadState {
   const statuses = new Map<ServerName, WeightLoadStatus>()
   const changes = new Subject<ServerName>()
--- a/packages/control/src/state/weightsState.ts
+++ b/packages/control/src/state/weightsState.ts
@@ -1,19 +1,19 @@
-/** The part of the replicated state that holds the wanted weights version of each model. */
+/** Replicated target weights version of each model. */
 
-/** Names the weights version that a model should have. */
+/** Sets the target weights version of a model; lower versions are ignored. */
 export interface SetWeightsVersion {
   readonly kind: 'weights.name'
   readonly model: string
   readonly version: number
 }
 
-/** What became of {@link SetWeightsVersion}. */
+/** Result of {@link SetWeightsVersion}. */
 export interface SetWeightsVersionResult {
-  /** Version wanted afterwards; versions only rise. */
+  /** Target version after the command; it never decreases. */
   readonly version: number
 }
 
-/** Wanted weights versions by model. */
+/** Target weights versions by model. */
 export interface WeightsState {
   find(model: string): number | undefined
   list(): Readonly<Record<string, number>>
@@ -22,7 +22,7 @@
   load(saved: Readonly<Record<string, number>>): void
 }
 
-/** Creates a state without any named version. */
+/** Creates a state without target versions. */
 export function createWeightsState(): WeightsState {
   const targetVersions = new Map<string, number>()
   return {
