--- a/packages/control/src/client/configFollower.ts
+++ b/packages/control/src/client/configFollower.ts
@@ -1,7 +1,7 @@
 /**
- * Follows the fleet configuration. One task long-polls control; whenever a message from another
- * process carries a higher version, the follower fetches from that process at once. Versions only
- * rise, and a patch is used only when the result has the hash that was announced.
+ * Keeps the fleet configuration of a node up to date. A background task long-polls the control instances. When a
+ * message from another process carries a higher version, the follower fetches the configuration from that process
+ * immediately. Versions never decrease, and a patched configuration is installed only when its hash matches.
  */
 import { resolveFleetConfig, type Fleet, type FleetConfigInput } from '@spoolgate/config'
 import {
@@ -23,7 +23,7 @@
 export interface ConfigFollowerOptions {
   /** Name under which control lists this node. */
   readonly node: string
-  /** URLs of control instances, and of any peers, that serve the configuration. */
+  /** URLs of control instances and of any peers that serve the configuration. */
   readonly sources: readonly string[]
   readonly client: HttpClient
   readonly timers: TimerService
@@ -31,19 +31,19 @@
   readonly invariants: Invariants
 }
 
-/** A follower of the configuration. */
+/** See {@link createConfigFollower}. */
 export interface ConfigFollower {
-  /** The configuration in force here; undefined before the first was fetched. */
+  /** Configuration in force on this node; undefined until the first one is installed. */
   current(): Fleet | undefined
-  /** Emits the configuration in force and each later one. */
+  /** Emits the configuration in force, if any, and each later one. */
   readonly changes: Observable<Fleet>
-  /** Version in force here; -1 before the first. */
+  /** Version in force on this node; -1 until the first one is installed. */
   version(): number
-  /** Notes that another process runs `version`; fetches from it when it is ahead. */
+  /** Reports the version of another process; fetches the configuration from it when that version is newer. */
   observeVersion(version: number, url: string): void
-  /** Waits until `version` is in force here; false when it took too long. */
+  /** Waits until `version` or a later one is in force on this node; resolves to false on timeout. */
   waitForVersion(version: number, timeoutMs: number): Promise<boolean>
-  /** Routes by which this node serves the configuration to others. */
+  /** Creates the routes through which this node serves the configuration to peers. */
   createRoutes(processKey: string): Route[]
   close(): Promise<void>
 }
@@ -56,7 +56,7 @@
 const RETRY_DELAY_MS = 200
 const NO_VERSION = -1
 
-/** Creates a follower and starts to poll. */
+/** Creates a follower and starts polling. */
 export function createConfigFollower(options: ConfigFollowerOptions): ConfigFollower {
   const { client, timers, logger, invariants, sources } = options
   const stopping = new AbortController()
--- a/packages/control/src/client/controlClient.ts
+++ b/packages/control/src/client/controlClient.ts
@@ -1,4 +1,4 @@
-/** Client of the control group: finds the leader and tries again while leadership changes. */
+/** Client of the control group. It finds the leader and retries requests during leadership changes. */
 import {
   ConnectionError,
   SpoolgateError,
@@ -10,12 +10,12 @@
 
 /** Options of {@link createControlClient}. */
 export interface ControlClientOptions {
-  /** URLs of the members. */
+  /** URLs of the group members. */
   readonly urls: readonly string[]
   readonly client: HttpClient
   readonly timers: TimerService
   /**
-   * Longest time for one command with all tries, in ms.
+   * Maximum time for one request including all retries, in ms.
    * @default 5000
    */
   readonly timeoutMs?: number
@@ -24,8 +24,8 @@
 /** Sends commands and requests to the leader. */
 export interface ControlClient {
   /**
-   * Sends a command; commands may be tried again, so they must be safe to repeat.
-   * @throws SpoolgateError `controlUnavailable` when no leader answered in time.
+   * Sends a command. Commands may be retried, so they must be idempotent.
+   * @throws SpoolgateError `controlUnavailable` when no leader responded in time.
    */
   send<Kind extends ControlCommandKind>(
     command: Omit<ControlCommands[Kind]['command'], 'at' | 'kind'> & { readonly kind: Kind },
@@ -38,7 +38,7 @@
 const ATTEMPT_TIMEOUT_MS = 2_000
 const RETRY_DELAY_MS = 50
 
-/** Creates a client. */
+/** Creates a client of the control group. */
 export function createControlClient(options: ControlClientOptions): ControlClient {
   const { urls, client, timers } = options
   let preferredUrl = urls[0]
@@ -47,7 +47,7 @@
     const index = urls.indexOf(failed)
     return urls[(index + 1) % urls.length]
   }
-  /** Decides where to try next; rethrows what another try cannot fix. */
+  /** Selects the URL of the next attempt; rethrows errors that a retry cannot resolve. */
   const handleFailure = (cause: unknown, tried: string) => {
     if (cause instanceof ConnectionError) {
       preferredUrl = findNextUrl(tried)
--- a/packages/control/src/group/faultToleranceReport.ts
+++ b/packages/control/src/group/faultToleranceReport.ts
@@ -1,26 +1,26 @@
-/** Tells the operator where the control group bears fewer losses than it was set up for. */
+/** Warns the operator when the control group tolerates fewer failures than configured. */
 import type { Logger, TimerService } from '@spoolgate/core'
 import { listVoters } from '../raft/group.js'
 import type { MemberMap } from '../raft/messages.js'
 
-/** Losses that a group bears. */
+/** Failures that a group tolerates. */
 export interface FaultTolerance {
-  /** Voters that may stay away, of whom nothing is known. */
+  /** Voters that may be unreachable, with unknown state. */
   readonly away: number
-  /** Voters whose disks may be lost, while their instances answer. */
+  /** Voters whose disks may be lost while their instances still answer. */
   readonly lostDisks: number
 }
 
 /**
- * Counts from the voters that there are, not from those that there should be: a majority must be
- * left of those away, and half of an even group elects where a disk is proven lost.
+ * Counts the tolerated failures from the current voters, not from the target number. With unreachable voters a
+ * majority must remain; with a disk proven lost, half of an even group can elect a leader.
  */
 export function countToleratedLosses(members: MemberMap): FaultTolerance {
   const voters = listVoters(members).length
   return { away: Math.floor((voters - 1) / 2), lostDisks: Math.floor(voters / 2) }
 }
 
-/** Counts the losses for which a number of voters is wanted: twice as many and one. */
+/** Counts the failures that a target number of voters is meant to tolerate: n for 2n + 1 voters. */
 export function countTargetLosses(targetVoters: number): number {
   return Math.floor((targetVoters - 1) / 2)
 }
@@ -35,14 +35,14 @@
 
 /** See {@link createFaultToleranceReport}. */
 export interface FaultToleranceReport {
-  /** Notes the group that the leader has; warns where it has long borne too few losses. */
+  /** Records the current members; warns once their tolerance has been too low for the warning delay. */
   recordGroup(members: MemberMap): void
 }
 
-/** Time for which too few losses must be borne, in ms: a group that grows or repairs takes less. */
+/** Time with too low a tolerance before the warning, in ms: longer than a normal join or replacement takes. */
 export const LOW_TOLERANCE_WARNING_DELAY_MS = 5_000
 
-/** Creates the report of one leader. */
+/** Creates the fault tolerance report of a leader. */
 export function createFaultToleranceReport(
   options: FaultToleranceReportOptions,
 ): FaultToleranceReport {
--- a/packages/control/src/group/groupPlan.ts
+++ b/packages/control/src/group/groupPlan.ts
@@ -1,18 +1,18 @@
 /**
- * What the leader should change next in its group: who joins, who votes, who is removed. One step at
- * a time, since the group changes by one member at a time.
+ * Plans the next membership change of the leader's group: a join, a promotion, a demotion or a removal. Steps are
+ * planned one at a time, because a membership change affects one member.
  */
 import type { MemberInfo, MemberMap } from '../raft/messages.js'
 
-/** What the leader knows of one member. */
+/** Health of a member, as seen by the leader. */
 export interface MemberHealth {
-  /** Ms since the member last followed; 0 for the leader itself. */
+  /** Time since the member last confirmed the leader, in ms; 0 for the leader itself. */
   readonly silentMs: number
-  /** Whether the member holds all that was committed. */
+  /** Whether the member stores all committed entries. */
   readonly isCaughtUp: boolean
 }
 
-/** A process that asked to be taken in. */
+/** Request of an instance to join the group. */
 export interface JoinRequest {
   readonly name: string
   readonly url: string
@@ -23,12 +23,12 @@
   readonly leader: string
   readonly members: MemberMap
   readonly joinRequests: readonly JoinRequest[]
-  /** Voters that the group should have, if there are as many instances. */
+  /** Target number of voters, if there are as many instances. */
   readonly targetVoters: number
   readonly findHealth: (name: string) => MemberHealth
 }
 
-/** A change of the group with its reason. */
+/** Membership change with its reason. */
 export interface MembershipStep {
   readonly members: MemberMap
   readonly reason: string
@@ -36,22 +36,23 @@
 }
 
 /**
- * Silence after which a voter is replaced by a learner, in ms. Longer than an election, so that a
- * restart of a process does not count; an instance that was replaced must be out within the time
- * that its successor has for catching up (4 s on the deployments known).
+ * Silence after which a voter is replaced by a learner, in ms. It is longer than an election, so that a process
+ * restart does not cause a replacement. A replaced instance must be removed within the time that its successor has
+ * to catch up, which is 4 s on known deployments.
  */
 export const REPLACE_AFTER_MS = 2_000
 /**
- * Silence after which an odd group goes on without a voter, in ms; chosen, not measured. Longer than
- * for a replacement: while a voter that will return is a learner, two others may not go for good.
+ * Silence after which a voter of an odd group is demoted without a replacement, in ms. It is longer than for a
+ * replacement, because while a voter that will return is a learner, the group does not tolerate the permanent loss of
+ * two others.
  */
 export const SHRINK_AFTER_MS = 5_000
-/** Silence after which a learner is forgotten, in ms; it asks to be taken in when it returns. */
+/** Silence after which a learner is removed, in ms; it requests to join again when it returns. */
 export const REMOVE_LEARNER_AFTER_MS = 15_000
-/** Longest silence of a learner that becomes a voter, in ms. */
+/** Maximum silence of a learner that is promoted to voter, in ms. */
 const MAX_PROMOTION_SILENCE_MS = 600
 
-/** Voters below which a silent one is kept: of two, one that is away would stop the group. */
+/** Number of voters up to which a silent voter is kept: in a group of two, one failure would stop the group. */
 const MIN_VOTERS = 3
 
 type Entry = readonly [string, MemberInfo]
@@ -64,10 +65,10 @@
   return { ...members, [name]: { ...info, kind } }
 }
 
-/** A member whose address now belongs to another disk can never return. */
+/** Removes a member whose address now belongs to an instance with another disk; the member cannot return. */
 function findReplacedDisk({
   members,
-  joinRequests: joinRequests,
+  joinRequests,
   leader,
 }: MembershipPlanInput): MembershipStep | undefined {
   for (const joiner of joinRequests) {
@@ -79,10 +80,7 @@
   return undefined
 }
 
-function findJoin({
-  members,
-  joinRequests: joinRequests,
-}: MembershipPlanInput): MembershipStep | undefined {
+function findJoin({ members, joinRequests }: MembershipPlanInput): MembershipStep | undefined {
   const joiner = joinRequests.find(({ name }) => !(name in members))
   if (!joiner) return undefined
   const { name, url } = joiner
@@ -90,7 +88,7 @@
 }
 
 function findVoterStep(input: MembershipPlanInput): MembershipStep | undefined {
-  const { members, leader, targetVoters: targetVoters, findHealth: findHealth } = input
+  const { members, leader, targetVoters, findHealth } = input
   const entries: Entry[] = Object.entries(members)
   const voters = entries.filter(([, { kind }]) => kind === 'voter')
   const isSilent = ([name]: Entry) =>
@@ -114,8 +112,8 @@
     const next = applyKind(members, surplus, 'learner')
     return { members: next, member: surplus[0], reason: 'surplus' }
   }
-  // An odd group without one has the same majority, and no entry is held on fewer disks. It bears
-  // more: a voter that was replaced for good would else count as away for ever, besides new losses.
+  // Without one voter, an odd group needs as many disks for a majority as before, so entries stay on as many disks.
+  // Tolerance improves: a permanently lost voter would otherwise count as a failure in addition to later ones.
   const isShrinkable = voters.length % 2 === 1 && voters.length > MIN_VOTERS
   const away = silent.find(([name]) => findHealth(name).silentMs > SHRINK_AFTER_MS)
   if (!isShrinkable || !away) return undefined
@@ -124,7 +122,7 @@
 
 function findExpiredLearner({
   members,
-  findHealth: findHealth,
+  findHealth,
   leader,
 }: MembershipPlanInput): MembershipStep | undefined {
   const lost = Object.entries(members).find(
@@ -134,7 +132,7 @@
   return lost && { members: removeMember(members, lost[0]), member: lost[0], reason: 'silent' }
 }
 
-/** Plans the next change of the group; undefined when it is as it should be. */
+/** Plans the next membership change; undefined when none is needed. */
 export function findMembershipStep(input: MembershipPlanInput): MembershipStep | undefined {
   return (
     findReplacedDisk(input) ?? findJoin(input) ?? findVoterStep(input) ?? findExpiredLearner(input)
--- a/packages/control/src/group/identity.ts
+++ b/packages/control/src/group/identity.ts
@@ -1,28 +1,27 @@
 /**
- * Name of a member of the control group. A name stands for one disk: a process that comes back to
- * the same address with an empty disk gets a new name, since it may have forgotten a vote that it
- * gave under the old one.
+ * Identity of a control group member. A name identifies one disk: a process that restarts at the same address with an
+ * empty disk gets a new name, because votes granted under the old name may be lost with the disk.
  */
 import { createUniqueId } from '@spoolgate/core'
 import type { DataFolder } from '../log/dataFolder.js'
 import { encodeRecord, parseRecords } from '../log/records.js'
 import type { MemberMap } from '../raft/messages.js'
 
-/** Who a member is, as its disk keeps it. */
+/** Member identity as stored on its disk. */
 export interface MemberIdentity {
   readonly name: string
-  /** Group as this member founded it; empty for one that joins. */
+  /** Founding members of the group; empty for a member that joins an existing group. */
   readonly founders: MemberMap
 }
 
 /** Options of {@link openIdentity}. */
 export interface IdentityOptions {
   readonly folder: DataFolder
-  /** URL at which the other members reach this one. */
+  /** URL at which other members reach this member. */
   readonly url: string
-  /** URLs of the founders, as all instances were given them. */
+  /** Founder URLs; configured identically on all instances. */
   readonly seeds: readonly string[]
-  /** Whether the whole fleet starts for the first time. */
+  /** Whether this is the first start of the entire fleet. */
   readonly isFirstStart: boolean
 }
 
@@ -37,7 +36,7 @@
   return { name: url, founders: Object.fromEntries(founders) as MemberMap }
 }
 
-/** Reads the identity of a disk, or gives an empty disk a new one and syncs it. */
+/** Reads the identity from the disk; on an empty disk, creates a new identity and syncs it. */
 export async function openIdentity(options: IdentityOptions): Promise<MemberIdentity> {
   const { folder } = options
   const data = await folder.read(IDENTITY_FILE)
--- a/packages/control/src/group/membershipManager.ts
+++ b/packages/control/src/group/membershipManager.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the control group whole. The leader takes in instances that ask, makes caught-up learners
- * voters and replaces voters that fell silent; a member without a leader asks to be taken in.
+ * Manages the membership of the control group. The leader adds instances that request to join, promotes caught-up
+ * learners to voters and replaces unresponsive voters. A member that knows no leader requests to join.
  */
 import {
   SpoolgateError,
@@ -14,7 +14,7 @@
 import { createFaultToleranceReport } from './faultToleranceReport.js'
 import { findMembershipStep, type JoinRequest, type MemberHealth } from './groupPlan.js'
 
-/** Path at which an instance asks a member to be taken in. */
+/** Path of requests to join the group. */
 export const JOIN_PATH = '/group/join'
 
 /** Options of {@link createMembershipManager}. */
@@ -30,26 +30,26 @@
   readonly logger: Logger
 }
 
-/** Keeps the group; see {@link createMembershipManager}. */
+/** See {@link createMembershipManager}. */
 export interface MembershipManager {
   /**
-   * Notes at the leader that an instance asks to be taken in.
-   * @throws SpoolgateError `notLeader` with the leader's URL elsewhere.
+   * Records a join request on the leader.
+   * @throws SpoolgateError `notLeader` with the leader's URL on other members.
    */
   recordJoinRequest(joiner: JoinRequest): void
   close(): Promise<void>
 }
 
-/** Time between two looks at the group, in ms: short against the replacement of a voter. */
+/** Time between two checks of the group, in ms: short compared with the delay before a voter is replaced. */
 const CHECK_PERIOD_MS = 200
-/** Time without a leader after which a member asks to be taken in, in ms. */
+/** Time without a known leader after which a member requests to join, in ms. */
 const JOIN_AFTER_MS = 1_000
-/** Longest wait for an answer to a join, in ms. */
+/** Maximum wait for the response to a join request, in ms. */
 const JOIN_TIMEOUT_MS = 500
-/** Time for which a request to join is remembered, in ms. */
+/** Time for which a join request stays valid, in ms. */
 const JOIN_REQUEST_TTL_MS = 3_000
 
-/** Creates the keeper and starts its task. */
+/** Creates the membership manager and starts its periodic check. */
 export function createMembershipManager(options: MembershipManagerOptions): MembershipManager {
   const { member, timers, logger, client } = options
   const stopping = new AbortController()
@@ -68,7 +68,7 @@
     const { commitIndex } = member.status()
     if (name === options.name) return { silentMs: 0, isCaughtUp: true }
     const found = member.listFollowers().find((follower) => follower.name === name)
-    // A new leader counts silence from its own start: it has received nothing yet.
+    // A new leader measures silence from its election, because it has received no messages yet.
     const receivedAt = Math.max(found?.confirmedAt ?? -Infinity, leadingSince)
     const isCaughtUp = (found?.matchIndex ?? 0) >= commitIndex
     return { silentMs: timers.now() - receivedAt, isCaughtUp }
@@ -81,13 +81,13 @@
     }
     if (!hasLease) return
     toleranceReport.recordGroup(members)
-    const { targetVoters: targetVoters, name } = options
+    const { targetVoters, name } = options
     const step = findMembershipStep({
       leader: name,
       members,
       joinRequests: listJoinRequests(),
-      targetVoters: targetVoters,
-      findHealth: findHealth,
+      targetVoters,
+      findHealth,
     })
     if (!step) return
     logger.info('group.change', { member: step.member, reason: step.reason, term })
@@ -150,7 +150,7 @@
   }
 }
 
-/** Reads the leader's URL from an error that another member answered. */
+/** Reads the leader's URL from an error response of another member. */
 export function findLeaderUrl(cause: unknown): string | undefined {
   if (!(cause instanceof SpoolgateError)) return undefined
   return (cause.details as { leaderUrl?: string } | undefined)?.leaderUrl
--- a/packages/control/src/server/configRoutes.ts
+++ b/packages/control/src/server/configRoutes.ts
@@ -1,4 +1,4 @@
-/** Routes of the fleet configuration: submitting, following, history and who runs what. */
+/** HTTP routes of the fleet configuration: submission, long polls of nodes, history, diffs and node versions. */
 import type { ServerResponse } from 'node:http'
 import {
   formatProblems,
@@ -30,22 +30,22 @@
   readonly timers: TimerService
   readonly processKey: string
   readonly operatorKey: string
-  /** Emits when the instance stops: polls are then answered at once. */
+  /** Emits when the instance stops; pending long polls are then answered immediately. */
   readonly stopping: Observable<unknown>
 }
 
-/** Body of a submitted configuration. */
+/** Request body of a configuration submission. */
 export interface SubmitConfigRequest {
   readonly changeId: string
   readonly base: number
   readonly operator: string
-  /** Configuration as a value, or as a text with comments, whose problems are then placed. */
+  /** Configuration as a value; alternatively `text`, for which problems are reported with their position in `file`. */
   readonly source?: FleetConfigInput
   readonly text?: string
   readonly file?: string
 }
 
-/** Longest wait of a long poll, in ms. */
+/** Maximum wait of a long poll, in ms. */
 export const MAX_POLL_WAIT_MS = 30_000
 
 function parseSource(request: SubmitConfigRequest): FleetConfigInput {
@@ -70,7 +70,10 @@
   const request = body as SubmitConfigRequest
   const isNamed = typeof request?.changeId === 'string' && typeof request.operator === 'string'
   if (isNamed && Number.isInteger(request.base)) return request
-  throw new SpoolgateError('invalidRequest', 'send changeId, operator and base, the version seen')
+  throw new SpoolgateError(
+    'invalidRequest',
+    'changeId, operator and base (the version that the change is based on) are required',
+  )
 }
 
 function toConflictError(
@@ -78,12 +81,12 @@
 ): SpoolgateError {
   const message =
     result.kind === 'conflict'
-      ? `version ${result.version} came first; fetch it, repeat the change on it, submit again`
-      : 'this change id stands for other content; choose a new one'
+      ? `version ${result.version} is newer than the base; fetch it, reapply the change and submit again`
+      : 'this changeId was already used for a different configuration; choose a new one'
   return new SpoolgateError('conflict', message, { details: result })
 }
 
-/** Creates the routes. */
+/** Creates the configuration routes. */
 export function createConfigRoutes(options: ConfigRoutesOptions): Route[] {
   const { member, machine, nodes, timers, processKey, operatorKey } = options
 
@@ -101,7 +104,7 @@
   const waitForVersion = async (after: number, waitMs: number, response: ServerResponse) => {
     if (machine.config.version() > after) return
     const timeout = timers.after(Math.min(waitMs, MAX_POLL_WAIT_MS))
-    // Without the last two a poll outlived its node, and kept a stopping instance for its whole wait.
+    // Ends the poll when the node disconnects or the instance stops; otherwise it would delay shutdown by its full wait.
     const pollEnded = race(
       machine.configVersions,
       timeout,
@@ -136,7 +139,10 @@
   const findStoredSource = (text: string | null) => {
     const source = machine.config.findSource(Number(text))
     if (source) return source
-    throw new SpoolgateError('notFound', `version ${text} is not kept; see the history`)
+    throw new SpoolgateError(
+      'notFound',
+      `configuration version ${text} is not stored; see the history for available versions`,
+    )
   }
   const showVersion = ({ response, params }: HttpExchange) =>
     sendJson(response, 200, {
--- a/packages/control/src/server/controlServer.ts
+++ b/packages/control/src/server/controlServer.ts
@@ -1,4 +1,4 @@
-/** A control instance: the replicated log, its machine and the HTTP routes over them. */
+/** Control instance: replicated log, state machine and HTTP routes. */
 import { resolveFleetConfig, type Fleet } from '@spoolgate/config'
 import {
   createDaemonRoutes,
@@ -31,13 +31,13 @@
 /** Options of {@link createControlServer}. */
 export interface ControlServerOptions {
   readonly member: string
-  /** URLs of the founders, by name; undefined for a group of this member alone. */
+  /** Founder URLs by member name; undefined for a single-member group. */
   readonly founders?: Readonly<Record<string, string>>
-  /** Whether an empty data folder founds the group. */
+  /** Whether an instance with an empty data folder creates the group. */
   readonly isFounding: boolean
   readonly host: string
   readonly port: number
-  /** Folder on the disk, or a folder that a test made. */
+  /** Path of the data folder, or a folder implementation supplied by a test. */
   readonly dataFolder: string | DataFolder
   readonly processKey: string
   readonly operatorKey: string
@@ -52,31 +52,31 @@
   /** @default 1000 */
   readonly snapshotEvery?: number
   /**
-   * Milliseconds for which a settled claim, with its answer, is kept.
-   * @default 86400000, a day
+   * Time for which a settled claim and its response are stored, in ms.
+   * @default 86400000 (one day)
    */
   readonly claimRetentionMs?: number
   /**
-   * Time between two looks of repair at the fleet, in ms.
+   * Time between two repair checks of the fleet, in ms.
    * @default 1000
    */
   readonly repairPeriodMs?: number
   /**
-   * Whether a violated invariant ends the run.
+   * Whether a violated invariant terminates the process.
    * @default false
    */
   readonly isFatal?: boolean
   /**
-   * Seed of the election timeouts.
+   * Seed of the randomised election timeouts.
    * @default drawn from the clock
    */
   readonly seed?: number
   /**
-   * Links to members that are cut; for tests and soak runs.
-   * @default none
+   * Whether the link to a member is cut, which simulates a network partition in tests and soak runs.
+   * @default no link is cut
    */
   readonly isCut?: (member: string) => boolean
-  /** Called when the disk failed; the daemon must then end. */
+  /** Called after a disk failure; the daemon must then exit. */
   readonly onFailure?: (cause: unknown) => void
 }
 
@@ -86,7 +86,7 @@
   readonly member: RaftMember
   readonly machine: ControlStateMachine
   readonly invariants: Invariants
-  /** Bytes over all connections to this instance so far. */
+  /** Total bytes transferred over all connections to this instance. */
   traffic(): TrafficCount
   close(drainMs?: number): Promise<CloseReport>
 }
@@ -105,7 +105,7 @@
   )
 }
 
-/** Resolves the configuration in force, once for each version. */
+/** Creates a getter of the resolved configuration in force, which is cached by version. */
 function createFleetReader(machine: ControlStateMachine): () => Fleet | undefined {
   let cached: Fleet | undefined
   return () => {
@@ -117,7 +117,7 @@
   }
 }
 
-/** Creates a control instance and waits until it listens. */
+/** Creates a control instance and waits until it is listening. */
 export async function createControlServer(options: ControlServerOptions): Promise<ControlServer> {
   const { logger, timers, processKey, operatorKey } = options
   const metrics = createMetrics('control')
--- a/packages/control/src/server/groupRoutes.ts
+++ b/packages/control/src/server/groupRoutes.ts
@@ -1,4 +1,4 @@
-/** Routes between members, for the fleet's processes and for operators of the group. */
+/** HTTP routes for Raft messages, for commands of the fleet's processes and for operators of the group. */
 import {
   INTERNAL_BODY_LIMITS,
   readJson,
@@ -35,7 +35,7 @@
   readonly isCut: (from: string) => boolean
 }
 
-/** Commands that the fleet's own processes may send. */
+/** Commands that processes of the fleet may send. */
 const PROCESS_COMMANDS: ReadonlySet<ControlCommandKind> = new Set([
   'claim.open',
   'claim.finish',
@@ -44,7 +44,7 @@
   'order.finish',
 ])
 
-/** A change of the group by one member. */
+/** Membership change that affects one member. */
 export interface MemberChange {
   readonly name: string
   readonly url?: string
@@ -56,9 +56,13 @@
   const { [change.name]: known, ...others } = members
   if (change.kind === undefined) return others
   const url = change.url ?? known?.url
-  if (url === undefined) throw new SpoolgateError('invalidRequest', 'send the "url" of the member')
+  if (url === undefined)
+    throw new SpoolgateError('invalidRequest', 'the "url" of the member is required')
   if (change.kind === 'voter' && known?.kind !== 'learner') {
-    throw new SpoolgateError('invalidRequest', 'add the member as a learner first')
+    throw new SpoolgateError(
+      'invalidRequest',
+      'only a learner can become a voter; add the member as a learner first',
+    )
   }
   return { ...others, [change.name]: { url, kind: change.kind } }
 }
@@ -66,13 +70,13 @@
 /** Options of {@link createRaftRoute}. */
 export interface RaftRouteOptions {
   readonly member: RaftMember
-  /** Key of the fleet's processes; undefined where they share none. */
+  /** Key shared by the fleet's processes; undefined when no key is required. */
   readonly processKey?: string
   /** Whether messages from a member are dropped; for tests and soak runs. */
   readonly isCut: (from: string) => boolean
 }
 
-/** Creates the route of messages between members. */
+/** Creates the route for Raft messages between members. */
 export function createRaftRoute(options: RaftRouteOptions): Route {
   const { member } = options
   const checkLink = (from: string) => {
@@ -81,11 +85,14 @@
   const checkRecipient = (to: string | null) => {
     const { name } = member.status()
     if (to === null || to === name) return
-    throw new SpoolgateError('conflict', `${to} is not here; this is ${name}`)
+    throw new SpoolgateError(
+      'conflict',
+      `message is addressed to member ${to}, but this is member ${name}`,
+    )
   }
   const handlers: Record<string, (message: unknown, to: string | null) => Promise<unknown>> = {
-    // Whoever is at the address answers a vote under its own name: that shows the candidate that the
-    // disk of the voter is lost.
+    // The recipient of a vote is not checked: a member with a new name at the same address answers under that name,
+    // which shows the candidate that the voter's disk is lost.
     vote: (message) => {
       checkLink((message as VoteRequest).candidate)
       return member.handleVote(message as VoteRequest)
@@ -103,20 +110,23 @@
   }
   const handler = async ({ request, response, params, query }: HttpExchange) => {
     const handle = handlers[params.name]
-    if (!handle) throw new SpoolgateError('unknownPath', 'unknown message; update this member')
+    if (!handle) throw new SpoolgateError('unknownPath', 'unknown Raft message; update this member')
     const message = await readJson(request, INTERNAL_BODY_LIMITS)
     sendJson(response, 200, await handle(message, query.get('to')))
   }
   return { method: 'POST', path: `${RAFT_PATH}/:name`, key: options.processKey, handler }
 }
 
-/** Creates the routes. */
+/** Creates the routes of the control group. */
 export function createGroupRoutes(options: GroupRoutesOptions): Route[] {
   const { member, machine, timers, processKey, operatorKey } = options
   const serveCommand = async ({ request, response }: HttpExchange) => {
     const command = (await readJson(request, INTERNAL_BODY_LIMITS)) as { kind: ControlCommandKind }
     if (!PROCESS_COMMANDS.has(command.kind)) {
-      throw new SpoolgateError('invalidRequest', `command "${command.kind}" is not for processes`)
+      throw new SpoolgateError(
+        'invalidRequest',
+        `processes are not allowed to send command "${command.kind}"`,
+      )
     }
     sendJson(response, 200, await member.propose({ ...command, at: timers.wallNow() }))
   }
@@ -135,7 +145,7 @@
     const shareRequest = (await readJson(request, INTERNAL_BODY_LIMITS)) as ShareRequest
     member.checkCurrent()
     const { term } = member.status()
-    // In a new term another leader may have handed out shares that still run.
+    // Another leader may have granted shares since the previous term that have not expired yet.
     if (ledgerTerm !== term) options.ledger.reset()
     ledgerTerm = term
     sendJson(response, 200, options.ledger.grant(shareRequest))
--- a/packages/control/src/server/nodeVersions.ts
+++ b/packages/control/src/server/nodeVersions.ts
@@ -1,24 +1,24 @@
-/** Which configuration version each node was last seen to run. */
+/** Configuration version that each node last reported. */
 import type { TimerService } from '@spoolgate/core'
 
-/** One node as seen by its polls. */
+/** Configuration version of a node, as reported by its polls. */
 export interface NodeVersion {
   readonly node: string
   readonly version: number
-  /** Milliseconds since it was last seen. */
+  /** Time since the node's last poll, in ms. */
   readonly ageMs: number
 }
 
-/** Versions by node. */
+/** Configuration versions by node. */
 export interface NodeVersions {
   record(node: string, version: number): void
   list(): NodeVersion[]
 }
 
-/** Nodes not seen for this long are left out, in ms. */
+/** Time without a poll after which a node is removed from the list, in ms. */
 const NODE_TTL_MS = 120_000
 
-/** Creates an empty table. */
+/** Creates an empty list. */
 export function createNodeVersions(timers: TimerService): NodeVersions {
   const nodes = new Map<string, { version: number; at: number }>()
   return {
--- a/packages/control/src/server/orderRunner.ts
+++ b/packages/control/src/server/orderRunner.ts
@@ -1,7 +1,7 @@
 /**
- * Carries out orders and repairs the fleet, on the leader only. One bounded step at a time: it looks
- * at what the sidecars report against what the configuration wants, issues at most the orders for
- * which there are slots, and backs off from a backend server whose order failed.
+ * Executes orders and reconciles the fleet with its configuration, on the leader only. Each period it queries
+ * a bounded number of sidecars, compares the last reported statuses with the configuration, issues no more orders than
+ * there are free slots, and backs off from backend servers whose orders failed.
  */
 import type { BackendServer, Fleet } from '@spoolgate/config'
 import {
@@ -24,18 +24,18 @@
   readonly logger: Logger
   readonly findFleet: () => Fleet | undefined
   /**
-   * Time between two looks at the fleet, in ms.
+   * Time between two checks of the fleet, in ms.
    * @default 1000
    */
   readonly periodMs?: number
 }
 
-/** A running repair. */
+/** Running repair task. */
 export interface OrderRunner {
   close(): Promise<void>
 }
 
-/** What a sidecar reports of its backend server. */
+/** Status that a sidecar reports for its backend server. */
 interface SidecarStatus {
   readonly isLeaving: boolean
   readonly backend: { readonly isReady: boolean; readonly weightsVersion: string }
@@ -51,20 +51,20 @@
 const ORDER_TIMEOUT_MS = 600_000
 const INITIAL_BACKOFF_MS = 2_000
 const MAX_BACKOFF_MS = 120_000
-/** Sidecars that are asked in one period. */
+/** Sidecars queried per period. */
 const STATUS_BATCH_SIZE = 4
-/** Most engines of one model that repair may take out of service at once, as a share of them. */
+/** Maximum share of a model's engines that repair may take out of service at once. */
 const MAX_UNAVAILABLE_RATIO = 0.34
 
-/** Creates the repair of a control instance; it rests while the instance does not lead. */
+/** Starts the repair task of a control instance; it is idle while the instance is not the leader. */
 export function createOrderRunner(options: OrderRunnerOptions): OrderRunner {
   const { member, machine, client, timers, logger } = options
   const stopping = new AbortController()
   const backoffs = new Map<BackendServerId, Backoff>()
-  /** Fencing numbers of orders that this leadership is carrying out. */
+  /** Orders in progress on this instance, by fencing number. */
   const running = new Map<number, Promise<void>>()
 
-  /** What each sidecar last reported; undefined when it did not answer. */
+  /** Last status of each sidecar; undefined when it did not answer. */
   const statuses = new Map<BackendServerId, SidecarStatus | undefined>()
   let nextIndex = 0
 
@@ -103,7 +103,7 @@
     const work = runOrder(order, server).finally(() => running.delete(order.fencing))
     running.set(order.fencing, work)
   }
-  /** Takes up orders that an earlier leader issued and did not see finished. */
+  /** Resumes orders that were issued by an earlier leader and are still open. */
   const resumeOpenOrders = (fleet: Fleet) => {
     for (const order of machine.orders.open()) {
       const server = fleet.backendServers.get(order.server)
@@ -123,8 +123,8 @@
     }
   }
   /**
-   * Asks the next few sidecars in turn, so that a look at a large fleet costs no more than one at a
-   * small fleet; a fleet of 600 is seen whole every 150 periods.
+   * Queries the next batch of sidecars in round-robin order, so that the cost per period does not grow with the
+   * fleet. A fleet of 600 is covered every 150 periods.
    */
   const fetchNextStatuses = async (servers: readonly BackendServer[]) => {
     const count = Math.min(STATUS_BATCH_SIZE, servers.length)
@@ -161,7 +161,7 @@
     const backend = statuses.get(server.id)?.backend
     return backend?.isReady === true && backend.weightsVersion === weights
   }
-  /** Whether an engine is up, stays, and runs other weights than it should. */
+  /** Whether an engine is ready, is not leaving, and runs weights other than the configured version. */
   const isOutdated = (server: BackendServer, weights: string) => {
     const status = statuses.get(server.id)
     if (!status?.backend.isReady || status.isLeaving) return false
--- a/packages/control/src/server/raftTransport.ts
+++ b/packages/control/src/server/raftTransport.ts
@@ -1,23 +1,23 @@
-/** Messages between members over HTTP with JSON. */
+/** Raft transport that sends messages as JSON over HTTP. */
 import { ConnectionError, type HttpClient } from '@spoolgate/core'
 import type { RaftMessageName, RaftMessages, RaftTransport } from '../raft/messages.js'
 
-/** Path of a message on the receiving member. */
+/** Base path of Raft messages on the receiving member. */
 export const RAFT_PATH = '/raft'
 
 /** Options of {@link createHttpTransport}. */
 export interface HttpTransportOptions {
   readonly client: HttpClient
-  /** Longest wait for a reply, in ms. */
+  /** Maximum wait for a reply, in ms. */
   readonly timeoutMs: number
   /**
-   * Whether messages to a member are cut; for tests and soak runs.
+   * Whether the link to a member is cut; for tests and soak runs.
    * @default never
    */
   readonly isCut?: (to: string) => boolean
 }
 
-/** Creates a transport. */
+/** Creates the HTTP transport. */
 export function createHttpTransport(options: HttpTransportOptions): RaftTransport {
   const { client, timeoutMs, isCut } = options
   return {
@@ -30,7 +30,7 @@
       if (isCut?.(to)) throw new ConnectionError('link is cut', true, false)
       return client.sendJson<RaftMessages[Name]['reply']>({
         method: 'POST',
-        // The name distinguishes a member from another that took over its address with an empty disk.
+        // The name lets the receiver reject messages for a previous member at its address, whose disk was lost.
         url: `${url}${RAFT_PATH}/${name}?to=${encodeURIComponent(to)}`,
         json: request,
         timeoutMs,
--- a/packages/control/src/server/shareLedger.ts
+++ b/packages/control/src/server/shareLedger.ts
@@ -1,28 +1,28 @@
 /**
- * Shares of the teams' limits. A limit holds over all routers: each holds a share for a short time,
- * and the shares that have not expired never add up to more than the limit. The ledger is soft
- * state of the leader; a new leader hands out nothing until every earlier share has expired.
+ * Distributes the teams' limits over the routers. A limit applies to all routers together: each router leases a share
+ * for a short time, and the sum of unexpired shares never exceeds the limit. The ledger is soft state of the leader; a
+ * new leader grants nothing until all shares of its predecessor have expired.
  */
 import type { TeamParameters } from '@spoolgate/config'
 import type { Invariants, TeamId, TimerService } from '@spoolgate/core'
 
-/** What a limit counts. */
+/** Quantities that can be limited. */
 export const LIMIT_KINDS = ['concurrentRequests', 'requestsPerSecond', 'tokensPerSecond'] as const
 
 /** Kind of a limit. */
 export type LimitKind = (typeof LIMIT_KINDS)[number]
 
-/** Amounts by kind of limit; a kind without a limit is left out. */
+/** Amounts by kind of limit; kinds without a limit are omitted. */
 export type LimitAmounts = { readonly [Kind in LimitKind]?: number }
 
-/** What a router asks for. */
+/** Demand reported by a router. */
 export interface ShareRequest {
   readonly router: string
-  /** Amounts in demand by team, in the unit of each limit. */
+  /** Demand by team, in the unit of each limit. */
   readonly demands: Readonly<Record<string, LimitAmounts>>
 }
 
-/** What a router may use until the shares expire. */
+/** Shares that a router may use until they expire. */
 export interface ShareReply {
   readonly shares: Readonly<Record<string, LimitAmounts>>
   readonly expiresInMs: number
@@ -32,20 +32,20 @@
 export interface ShareLedgerOptions {
   readonly timers: TimerService
   readonly invariants: Invariants
-  /** Finds the parameters of a team in the configuration in force. */
+  /** Finds a team's parameters in the current configuration. */
   readonly findParameters: (team: TeamId) => TeamParameters | undefined
 }
 
-/** The shares that a leader has handed out. */
+/** Shares granted by the leader. */
 export interface ShareLedger {
   grant(request: ShareRequest): ShareReply
-  /** Forgets everything and waits until earlier shares have expired, as a new leader must. */
+  /** Clears all shares and grants nothing until earlier ones have expired; required of a new leader. */
   reset(): void
 }
 
-/** Life of a share, in ms: long enough for an election, short enough to follow demand. */
+/** Time to live of a share, in ms: long enough to span an election, short enough to follow changes in demand. */
 export const SHARE_TTL_MS = 5_000
-/** Demand that a router without any is presumed to have, so that its first request finds a share. */
+/** Minimum demand assumed for each router, so that a share is available for its first request. */
 const MIN_DEMAND = 1
 
 interface Grant {
@@ -54,14 +54,14 @@
   readonly expiresAt: number
 }
 
-/** Grants of one limit by router. */
+/** Grants of one limit, by router. */
 type RouterGrants = Map<string, Grant>
 
 function countTotal(grants: RouterGrants, pick: (grant: Grant) => number): number {
   return [...grants.values()].reduce((sum, grant) => sum + pick(grant), 0)
 }
 
-/** Creates an empty ledger that hands out nothing until earlier shares have expired. */
+/** Creates an empty ledger that grants nothing until earlier shares have expired. */
 export function createShareLedger(options: ShareLedgerOptions): ShareLedger {
   const { timers, invariants } = options
   const limits = new Map<string, RouterGrants>()
@@ -80,7 +80,7 @@
     const demand = Math.max(requested, MIN_DEMAND)
     const totalDemand = demand + countTotal(grants, (grant) => grant.demand)
     const available = Math.max(0, limit - countTotal(grants, (grant) => grant.amount))
-    // A router gets its part by demand, and while nobody else asks for more, what is free.
+    // A share is proportional to demand; it is larger while unallocated capacity covers more of the router's demand.
     const fair = limit * (demand / totalDemand)
     const amount =
       now < grantsStartAt ? 0 : Math.min(available, Math.max(fair, Math.min(demand, available)))
--- a/packages/control/src/table/tableHistory.ts
+++ b/packages/control/src/table/tableHistory.ts
@@ -1,40 +1,40 @@
 /**
- * The last versions of the table at one control instance, and the updates that lead from each to the newest.
- * An update is built once, however many routers ask for it; versions between are skipped.
+ * Recent versions of the routing table on one control instance, with the update from each to the newest version.
+ * An update is built once, regardless of the number of routers that request it, and skips intermediate versions.
  */
 import type { Observable } from 'rxjs'
 import { buildTableUpdate, type VersionedTable, type TableUpdate } from './tableUpdate.js'
 
 /** Options of {@link createTableHistory}. */
 export interface TableHistoryOptions {
-  /** The newest table; undefined before the first. */
+  /** Newest table; undefined until a table is stored. */
   readonly current: () => VersionedTable | undefined
-  /** Emits after each change of the table, and at times without one. */
+  /** Emits after each change of the table; may also emit without a change. */
   readonly changes: Observable<unknown>
 }
 
 /** See {@link createTableHistory}. */
 export interface TableHistory {
   /**
-   * Finds the update from a version to the newest: the whole table for versions that are not remembered.
-   * Undefined when there is none newer.
+   * Finds the update from a version to the newest one; the full table for versions that are not in the history.
+   * Undefined when there is no newer version.
    */
   findUpdate(from: number): TableUpdate | undefined
 }
 
 /**
- * Earlier versions that are remembered. Routers poll several times a second and operators keep eight changes
- * in flight, so that a router that is in touch lags behind by fewer.
+ * Maximum number of versions in the history. Routers poll several times a second and operators keep at most eight
+ * changes in flight, so a connected router lags behind by fewer versions.
  */
 const MAX_VERSIONS = 16
-/** Characters of all documents that are remembered: 16 of 5,000 routes, 1.3 MB each, or four of 4 MiB. */
+/** Maximum total characters of the stored documents: 16 of 5,000 routes (1.3 MB each), or four of 4 MiB. */
 const MAX_DOCUMENT_CHARACTERS = 21_000_000
 
-/** Creates a history that begins with the version held now. */
+/** Creates a history that starts with the current version. */
 export function createTableHistory({ current, changes }: TableHistoryOptions): TableHistory {
-  /** Versions by number, the oldest first; the last is the newest. */
+  /** Versions by number, from oldest to newest. */
   const versions = new Map<number, VersionedTable>()
-  /** By the version that each is applied to; undefined for the whole table. */
+  /** Updates by base version; the key is undefined for the full table. */
   const updates = new Map<number | undefined, TableUpdate>()
 
   const countCharacters = () =>
--- a/packages/control/src/table/tableUpdate.ts
+++ b/packages/control/src/table/tableUpdate.ts
@@ -1,41 +1,42 @@
 /**
- * Versions of the routing table as they travel and as the log holds them: packed, and as a change against a
- * version that the receiver has where there is one. An update costs what it changes.
+ * Encoding of routing table versions for transfer and for the log: compressed, and as a patch against a version that
+ * the receiver has, if any. The size of an update depends on the size of the change.
  *
- * With whole documents a change of a table of 4,248 routes, 1.1 MB, kept a leader's link of 100 Mbit/s full for
- * 4 s while 30 routers fetched it; the leader was deposed over it, and the last router had it after 3.7 s.
+ * Sending full documents is too expensive: with a table of 4,248 routes (1.1 MB) and 30 routers, one change saturated
+ * the leader's 100 Mbit/s link for 4 s and reached the last router after 3.7 s, and the leader lost its leadership.
  */
 import { createHash } from 'node:crypto'
 import { deflateSync, inflateSync } from 'node:zlib'
 import { applyTextPatch, buildTextPatch, type TextPatch } from './textPatch.js'
 
-/** A version with its document. */
+/** Version number of the routing table with its document. */
 export interface VersionedTable {
   readonly version: number
   readonly document: string
 }
 
-/** Version that stands for no table. */
+/** Version number that represents the absence of a table. */
 export const NO_TABLE_VERSION = -1
 
-/** How to come to a version of the table. */
+/** Update to a version of the table. */
 export interface TableUpdate {
   readonly version: number
-  /** Version that the update is applied to; null where it holds the whole document. */
+  /** Version to which the update applies; null when it contains the full document. */
   readonly base: number | null
-  /** Deflated JSON in base64: the document, or a patch for the document of the base. */
+  /** Deflated JSON in base64: the document, or a patch against the document of the base version. */
   readonly packed: string
-  /** Start of the SHA-256 of the document, in base64. */
+  /** Truncated SHA-256 of the document, in base64. */
   readonly digest: string
 }
 
 /**
- * Level of deflate: 1.0 ms of a core and 31 KB for a document of 366 KB; the default takes 3.0 ms for 30 KB.
+ * Compression level of deflate. A document of 366 KB takes 1.0 ms of CPU time and compresses to 31 KB; the default
+ * level takes 3.0 ms for 30 KB.
  */
 const DEFLATE_LEVEL = 1
-/** Bounds what a damaged update unpacks to, in bytes: several times what operators may send. */
+/** Maximum decompressed size of an update, which may be corrupt, in bytes: several times what operators may send. */
 const MAX_UNPACKED_BYTES = 32 * 1024 * 1024
-/** Characters of a digest: 96 bits. */
+/** Length of a digest in base64 characters: 96 bits. */
 const DIGEST_LENGTH = 16
 
 function hashDocument(document: string): string {
@@ -53,7 +54,7 @@
   return JSON.parse(unpacked.toString('utf8')) as string | TextPatch
 }
 
-/** Builds the update to a version, from `before` where that is given. */
+/** Builds the update to a version: a patch against `before` if given, otherwise the full document. */
 export function buildTableUpdate(
   before: VersionedTable | undefined,
   after: VersionedTable,
@@ -68,8 +69,8 @@
 }
 
 /**
- * Applies an update; undefined when it does not fit: its base is not the version held, or it is damaged.
- * Then the whole table must be asked for.
+ * Applies an update. Returns undefined when its base is not the held version or when it is corrupt; the caller must
+ * then request the full table.
  */
 export function applyTableUpdate(
   held: VersionedTable | undefined,
@@ -83,12 +84,12 @@
       typeof content === 'string' ? content : applyTextPatch(held?.document ?? '', content)
     return hashDocument(document) === digest ? { version, document } : undefined
   } catch {
-    // Not an error here: whoever holds the update cannot fix it, and asks for the whole table.
+    // A corrupt update is not reported as an error: the caller recovers by requesting the full table.
     return undefined
   }
 }
 
-/** Size of an update, in bytes as it travels. */
+/** Measures the encoded size of an update, in bytes. */
 export function measureUpdate({ packed }: TableUpdate): number {
   return packed.length
 }
--- a/packages/control/src/table/textPatch.ts
+++ b/packages/control/src/table/textPatch.ts
@@ -1,18 +1,18 @@
 /**
- * Patches between two versions of a long text that have most of it in common, such as a routing table
- * of which one route was changed. A patch holds what is new, and names ranges of the text before.
+ * Patches between two versions of a long text that are mostly equal, such as a routing table with one changed route.
+ * A patch contains the new text and references ranges of the previous text.
  */
 
-/** A piece of the text after: new text, or the range `[start, end)` of the text before. */
+/** Part of the resulting text: new text, or a range `[start, end)` of the previous text. */
 export type TextPiece = string | readonly [start: number, end: number]
 
-/** How a text follows from the one before it. */
+/** Parts whose concatenation is the resulting text. */
 export type TextPatch = readonly TextPiece[]
 
-/** Ends a segment: in JSON an object, so that a change of one leaves the others whole. */
+/** End of a segment. In JSON it ends an object, so that a change of one object leaves other segments unchanged. */
 const SEGMENT_END = '}'
 
-/** Splits a text into segments, none of which is empty. */
+/** Splits a text into non-empty segments. */
 function splitSegments(text: string): string[] {
   const segments: string[] = []
   let start = 0
@@ -25,7 +25,7 @@
   return segments
 }
 
-/** Finds where each segment of a text begins; of equal ones the first counts. */
+/** Finds the offset of each distinct segment; for equal segments, that of the first. */
 function findSegmentOffsets(text: string): Map<string, number> {
   const offsets = new Map<string, number>()
   let start = 0
@@ -37,8 +37,8 @@
 }
 
 /**
- * Builds the patch that leads from one text to another. 5,000 routes of 1.3 MB take 3 ms of a core, and a
- * change of one of them gives 0.6 KB.
+ * Builds the patch from one text to another. For a table of 5,000 routes (1.3 MB) it takes 3 ms of CPU time; a change
+ * of one route results in a patch of 0.6 KB.
  */
 export function buildTextPatch(before: string, after: string): TextPatch {
   const offsets = findSegmentOffsets(before)
@@ -55,7 +55,7 @@
     added = ''
   }
   for (const segment of splitSegments(after)) {
-    // What follows the range so far is preferred to an equal segment elsewhere: it costs nothing.
+    // Extending the current range is preferred to an equal segment elsewhere, because it adds nothing to the patch.
     if (copied && before.startsWith(segment, copied.end)) {
       copied.end += segment.length
       continue
@@ -74,7 +74,7 @@
   return pieces
 }
 
-/** Applies a patch to the text that it was built from. */
+/** Applies a patch to the text from which it was built. */
 export function applyTextPatch(before: string, patch: TextPatch): string {
   return patch
     .map((piece) => (typeof piece === 'string' ? piece : before.slice(piece[0], piece[1])))
