--- a/packages/control/src/__tests__/groupPlan.spec.ts
+++ b/packages/control/src/__tests__/groupPlan.spec.ts
@@ -34,28 +34,28 @@
   }
 }
 
-describe('the plan of the control group', () => {
+describe('the membership plan of the control group', () => {
   const whole = { a: 'voter', b: 'voter', c: 'voter' } as const
 
-  it('leaves a whole group alone, with a learner to spare', () => {
+  it('plans no change for a complete group with an additional learner', () => {
     expect(findMembershipStep(buildInput({ ...whole, d: 'learner' }))).to.equal(undefined)
   })
 
-  it('takes in whoever asks, as a learner', () => {
+  it('adds an instance that requests to join as a learner', () => {
     const step = findMembershipStep(
       buildInput(whole, {}, { joinRequests: [{ name: 'd', url: 'http://d' }] }),
     )
     expect(step?.members.d).to.deep.equal({ url: 'http://d', kind: 'learner' })
   })
 
-  it('makes a learner a voter only once it has caught up', () => {
+  it('promotes a learner to voter only after it has caught up', () => {
     const kinds = { a: 'voter', b: 'voter', d: 'learner' } as const
     const behind = { d: { silentMs: 0, isCaughtUp: false } }
     expect(findMembershipStep(buildInput(kinds, behind))).to.equal(undefined)
     expect(findMembershipStep(buildInput(kinds))?.members.d.kind).to.equal('voter')
   })
 
-  it('replaces a silent voter by a learner, one step at a time', () => {
+  it('replaces a silent voter with a learner, one step at a time', () => {
     const views = { c: SILENT }
     const first = findMembershipStep(buildInput({ ...whole, d: 'learner' }, views))
     expect(first?.members.d.kind).to.equal('voter')
@@ -64,16 +64,16 @@
     expect(second?.members.c.kind).to.equal('learner')
   })
 
-  it('keeps a silent voter when there is nobody to take its place', () => {
+  it('keeps a silent voter when no learner can replace it', () => {
     expect(findMembershipStep(buildInput(whole, { c: SILENT }))).to.equal(undefined)
   })
 
-  it('takes a silent voter out of an odd group, whose majority stays the same without it', () => {
+  it('demotes a silent voter of an odd group, which does not change the size of the majority', () => {
     const kinds = { ...whole, d: 'voter', e: 'voter' } as const
     const five = findMembershipStep(buildInput(kinds, { e: AWAY }, { targetVoters: 5 }))
     expect(five?.members.e.kind).to.equal('learner')
     const seven = { ...kinds, f: 'voter', g: 'voter' } as const
-    // One that may only restart or be cut off stays a voter.
+    // A voter that may only be restarting or disconnected briefly stays a voter.
     expect(findMembershipStep(buildInput(kinds, { e: SILENT }, { targetVoters: 5 }))).to.equal(
       undefined,
     )
@@ -81,7 +81,7 @@
     expect(six?.members.c.kind).to.equal('learner')
   })
 
-  it('keeps a silent voter where fewer copies would be held without it', () => {
+  it('keeps a silent voter when entries would be stored on fewer disks without it', () => {
     const four = { ...whole, d: 'voter' } as const
     expect(findMembershipStep(buildInput(four, { d: AWAY }, { targetVoters: 5 }))).to.equal(
       undefined,
@@ -95,7 +95,7 @@
     )
   })
 
-  it('takes silent voters out one at a time, and makes them voters again when they are back', () => {
+  it('demotes silent voters one at a time and promotes them again when they return', () => {
     const five = { ...whole, d: 'voter', e: 'voter' } as const
     const input = { targetVoters: 5 }
     const step = findMembershipStep(buildInput(five, { d: AWAY, e: AWAY }, input))
@@ -106,7 +106,7 @@
     expect(findMembershipStep(buildInput(four, {}, input))?.members.e.kind).to.equal('voter')
   })
 
-  it('removes a voter whose address came back with an empty disk', () => {
+  it('removes a voter when an instance with an empty disk joins from its address', () => {
     const joiners = [{ name: 'c#new', url: 'http://c' }]
     const first = findMembershipStep(buildInput(whole, {}, { joinRequests: joiners }))
     expect(first?.members).to.not.have.property('c')
@@ -116,7 +116,7 @@
     expect(second?.members['c#new'].kind).to.equal('learner')
   })
 
-  it('forgets a learner that is gone, and never its own leader', () => {
+  it('removes a learner that stays silent, but never the leader', () => {
     const gone = { silentMs: REMOVE_LEARNER_AFTER_MS + 1, isCaughtUp: false }
     const step = findMembershipStep(buildInput({ ...whole, d: 'learner' }, { d: gone, a: gone }))
     expect(step?.members).to.have.all.keys('a', 'b', 'c')
--- a/packages/control/src/__tests__/groupSteps.ts
+++ b/packages/control/src/__tests__/groupSteps.ts
@@ -1,27 +1,27 @@
-/** Drives a group in memory by the plan that the leader's keeper follows. */
+/** Applies the membership plan to an in-memory group, as the leader's membership manager does. */
 import { findMembershipStep, type MembershipPlanInput } from '../group/groupPlan.js'
 import type { TestGroup, TestMember } from './group.js'
 
 /** Options of {@link createMembershipDriver}. */
 export interface MembershipDriverOptions {
   readonly group: TestGroup
-  /** Voters that the group should have. */
+  /** Target number of voters. */
   readonly targetVoters: number
 }
 
 /** See {@link createMembershipDriver}. */
 export interface MembershipDriver {
-  /** Lets whoever leads change its group by the next step, if one is due. */
+  /** Lets the current leader apply the next membership step, if one is due. */
   apply(): void
 }
 
-/** Whether messages pass between two instances in both directions. */
+/** Whether messages are delivered between two instances in both directions. */
 function isLinked({ cut, frozen }: TestGroup, a: TestMember, b: TestMember): boolean {
   const isCut = cut.has(`${a.url}>${b.url}`) || cut.has(`${b.url}>${a.url}`)
   return !isCut && !frozen.has(a.name) && !frozen.has(b.name)
 }
 
-/** Creates the driver; instances that run and are no members ask to be taken in. */
+/** Creates the driver; running instances that are not members request to join. */
 export function createMembershipDriver(options: MembershipDriverOptions): MembershipDriver {
   const { group, targetVoters: wantedVoters } = options
   const leaderships = new Map<string, { readonly term: number; readonly since: number }>()
@@ -54,7 +54,7 @@
       const since = known?.term === term ? known.since : leader.timers.now()
       leaderships.set(leader.name, { term, since })
       const step = findMembershipStep(buildInput(leader, since))
-      // Refused while another change is in progress, and not known when leadership is lost.
+      // Rejected while another change is in progress; the outcome is unknown when leadership is lost.
       if (step) leader.member.changeMembers(step.members).catch(() => {})
     },
   }
--- a/packages/control/src/__tests__/identity.spec.ts
+++ b/packages/control/src/__tests__/identity.spec.ts
@@ -5,8 +5,8 @@
 
 const SEEDS = ['http://a', 'http://b', 'http://c']
 
-describe('the identity of a member', () => {
-  it('is that of a founder for a seed at the first start of the fleet, and survives a crash', async () => {
+describe('the identity of a group member', () => {
+  it('is a founder identity for a seed at the first start of the fleet, and survives a crash', async () => {
     const folder = createMemoryFolder()
     const options = { url: 'http://b', seeds: SEEDS, isFirstStart: true }
     const identity = await openIdentity({ folder, ...options })
@@ -17,7 +17,7 @@
     expect(await openIdentity({ folder: restarted, ...later })).to.deep.equal(identity)
   })
 
-  it('founds nothing where the instance is no seed', async () => {
+  it('has no founders when the instance is not a seed', async () => {
     const folder = createMemoryFolder()
     const identity = await openIdentity({
       folder,
@@ -29,7 +29,7 @@
     expect(identity.name).to.match(/^http:\/\/d#/)
   })
 
-  it('is a new one for each empty disk, since the old one may have voted', async () => {
+  it('is new for each empty disk, because the previous identity may have voted', async () => {
     const open = () =>
       openIdentity({
         folder: createMemoryFolder(),
--- a/packages/control/src/__tests__/lossesBorne.spec.ts
+++ b/packages/control/src/__tests__/lossesBorne.spec.ts
@@ -1,6 +1,6 @@
 /**
- * What a group bears follows from the voters that it has, in each size: of an even group with a lost
- * disk, half may be gone; of any other, all that leaves a majority.
+ * Fault tolerance for each number of voters. An even group with a lost disk tolerates the loss of half of its voters;
+ * any other group tolerates losses as long as a majority remains.
  */
 import { expect } from 'chai'
 import { REPLACE_AFTER_MS, SHRINK_AFTER_MS } from '../group/groupPlan.js'
@@ -8,22 +8,22 @@
 import { createMembershipDriver } from './groupSteps.js'
 
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f', 'g']
-/** Election timeouts after which a group that has elected nobody will not do so. */
+/** Number of election timeouts without a leader after which a group is considered unable to elect one. */
 const ELECTION_FAILED_TIMEOUTS = 20
 
-/** Builds a command that leaves a trace in the state: a table version. */
+/** Builds a command whose effect is visible in the state: a table version. */
 function buildTableCommand(version: number) {
   return { kind: 'table.put', version, document: '{}' }
 }
 
-/** Losses of voters: some with their disks, others stay down or are cut off. */
+/** Failed voters: some lose their disks, others stay down or are partitioned. */
 interface Losses {
   readonly lost: readonly string[]
   readonly down: readonly string[]
   readonly cutOff: readonly string[]
 }
 
-/** Lists the losses of up to all voters, in every mixture, the voters chosen in turn. */
+/** Lists every combination of up to all voters lost, down or partitioned; the affected voters rotate. */
 function listLosses(names: readonly string[]): Losses[] {
   const found: Losses[] = []
   for (let lost = 0; lost <= names.length; lost += 1) {
@@ -41,14 +41,14 @@
   return found
 }
 
-/** Whether the voters that are left may elect. */
+/** Whether the remaining voters may elect a leader. */
 function isTolerated(voters: number, { lost, down, cutOff }: Losses): boolean {
   const gone = lost.length + down.length + cutOff.length
   const isHalfEnough = voters % 2 === 0 && lost.length > 0
   return gone <= (isHalfEnough ? voters / 2 : (voters - 1) / 2)
 }
 
-/** Lets a group lose power and some of its voters after an entry was acknowledged. */
+/** Simulates a power failure of the whole group, after which some voters do not return intact. */
 async function applyLosses(group: TestGroup, names: readonly string[], losses: Losses) {
   const disks = await group.losePower(names)
   for (const name of names) {
@@ -64,9 +64,9 @@
   for (const name of losses.cutOff) group.isolate(name)
 }
 
-describe('the losses that a group bears', () => {
+describe('the losses that a group tolerates', () => {
   for (let voters = 1; voters <= NAMES.length; voters += 1) {
-    it(`of ${voters} voters are those that leave enough of them to prove what was acknowledged`, async () => {
+    it(`of ${voters} voters are those that leave enough voters to prove what was acknowledged`, async () => {
       const names = NAMES.slice(0, voters)
       for (const [index, losses] of listLosses(names).entries()) {
         const group = await createTestGroup(names, index + 1)
@@ -86,7 +86,7 @@
     })
   }
 
-  it('are two disks of five where one voter was replaced for good and has not returned', async () => {
+  it('are two disks of a group of five after one voter was permanently replaced', async () => {
     const first = NAMES.slice(0, 4)
     const now = ['a', 'b', 'c', 'e']
     for (const [seed, kept] of [
@@ -122,14 +122,14 @@
     }
   })
 
-  it('are two disks of four again as soon as both are voters again', async () => {
+  it('are again two disks of four once the instances with the lost disks are voters again', async () => {
     const urls = NAMES.slice(0, 4)
     for (const seed of [1, 2, 3]) {
       const group = await createTestGroup(urls, seed)
       const steps = createMembershipDriver({ group, targetVoters: 5 })
       const names = new Map(urls.map((url) => [url, url]))
       await group.propose(await group.findLeader(), buildTableCommand(7))
-      // Each disk is lost in its turn, and again: whoever holds the entry got it by a repair.
+      // Every disk is lost in turn, repeatedly, so that each holder of the entry has received it through a repair.
       for (let round = 0; round < 6; round += 1) {
         const lost = [urls[(round * 2 + seed) % 4], urls[(round * 2 + seed + 1) % 4]]
         const disks = await group.losePower([...names.values()])
@@ -158,8 +158,8 @@
   })
 })
 
-describe('a change of the group that is under way while a disk is lost', () => {
-  /** Starts a change without waiting for it; what became of it is not known. */
+describe('a membership change in progress while a disk is lost', () => {
+  /** Starts a membership change without waiting for its outcome. */
   const startChange = (leader: TestMember, name: string, kind: 'learner' | 'voter') => {
     const members = { ...leader.member.status().members, [name]: { url: name, kind } }
     leader.member.changeMembers(members).catch(() => undefined)
@@ -177,14 +177,14 @@
     }
   }
 
-  it('elects nobody by half of a group that may never have come to be', async () => {
+  it('elects no leader with half of a group whose membership may never have been committed', async () => {
     const names = ['a', 'b', 'c']
     for (const seed of [1, 2, 3]) {
       const group = await createTestGroup(names, seed)
       const old = await group.findLeader()
       const [next, third] = names.filter((name) => name !== old.name)
       await addLearner(group, old, 'x')
-      // The change reaches the new voter alone; the two others elect and acknowledge without it.
+      // The change reaches only the new voter; the other two members elect a leader and acknowledge entries without it.
       cutBetween(group, [old.name, 'x'], [next, third])
       startChange(old, 'x', 'voter')
       const other = await group.findLeader(old.name)
@@ -193,7 +193,7 @@
       await group.loseDisks([lost])
       group.heal()
       group.frozen.add(other.name)
-      // Of four voters one is lost and two grant, but neither holds what was acknowledged.
+      // Of four voters, one is lost and two grant their votes, but neither stores the acknowledged entry.
       await group.run(ELECTION_MS * ELECTION_FAILED_TIMEOUTS)
       expect(group.leader()?.name, `seed ${seed}`).to.equal(undefined)
       group.frozen.delete(other.name)
@@ -203,14 +203,14 @@
     }
   })
 
-  it('gives no lease by a majority of the new group alone', async () => {
+  it('grants no lease with a majority of the new group alone', async () => {
     const names = ['a', 'b', 'c', 'd']
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const group = await createTestGroup(names, seed)
       const old = await group.findLeader()
       const [lost, ...others] = names.filter((name) => name !== old.name)
       await addLearner(group, old, 'x')
-      // The leader, one more and the new voter are three of five, and two of the four before.
+      // The leader, another member and the new voter are three of the five new voters, but two of the four old ones.
       cutBetween(group, [old.name, 'x'], others)
       startChange(old, 'x', 'voter')
       await group.run(ELECTION_MS * 1.5)
--- a/packages/control/src/__tests__/state.spec.ts
+++ b/packages/control/src/__tests__/state.spec.ts
@@ -22,8 +22,8 @@
     }),
   )
 
-describe('patches of the configuration', () => {
-  it('turn any configuration into any other', () => {
+describe('configuration patches', () => {
+  it('transform any configuration into any other', () => {
     fc.assert(
       fc.property(fleets, fleets, (before, after) => {
         const patched = applyFleetPatch(before, buildFleetPatch(before, after))
@@ -34,7 +34,7 @@
   })
 })
 
-describe('the configuration', () => {
+describe('the configuration state', () => {
   const submit = (changeId: string, base: number, share = 1) => ({
     kind: 'config.submit' as const,
     changeId,
@@ -44,7 +44,7 @@
     at: 0,
   })
 
-  it('gives a resend its first result, also after a snapshot', () => {
+  it('returns the first result to a resent change, also after restoring a snapshot', () => {
     const config = createConfigState()
     const first = config.submit(submit('one', 0), 5)
     const restored = createConfigState()
@@ -54,7 +54,7 @@
     expect(restored.submit(submit('one', 5, 2), 10).kind).to.equal('changeIdReused')
   })
 
-  it('lets one of two equal versions win and reports to the other what differs', () => {
+  it('accepts one of two changes with the same base and reports the differing items to the other', () => {
     const config = createConfigState()
     config.submit(submit('one', 0, 1), 5)
     const second = config.submit(submit('two', 0, 2), 6)
@@ -62,7 +62,7 @@
     expect(config.version()).to.equal(5)
   })
 
-  it('sends patches to a node that is a little behind, and the whole to a stranger', () => {
+  it('builds patches for a node with a stored version and the full configuration for other nodes', () => {
     const config = createConfigState()
     config.submit(submit('one', 0, 1), 5)
     config.submit(submit('two', 5, 2), 8)
@@ -86,7 +86,7 @@
   const settle = { claim: 't/k', number: 1, at: 2 }
   const answer = { status: 200, contentType: 'text/plain', body: 'ok', isBase64: false }
 
-  it('grants one dispatch, again to the same request, and names it to another', () => {
+  it('grants one dispatch, repeats the grant to the same request and reports it as running to others', () => {
     const claims = createClaimState()
     expect(claims.open(open('r1')).kind).to.equal('granted')
     expect(claims.open(open('r1')).kind).to.equal('granted')
@@ -94,7 +94,7 @@
     expect(claims.open(open('r2', 'other')).kind).to.equal('conflict')
   })
 
-  it('grants another dispatch only after the first was barred', () => {
+  it('grants another dispatch only after the first was released', () => {
     const claims = createClaimState()
     claims.open(open('r1'))
     claims.release({ kind: 'claim.release', ...settle })
@@ -103,7 +103,7 @@
     expect(claims.finish({ kind: 'claim.finish', ...settle, answer }).isSettled).to.equal(false)
   })
 
-  it('never leaves unknown, and keeps a finished answer until it expires', () => {
+  it('never leaves the unknown phase, and stores a finished response until it expires', () => {
     const claims = createClaimState()
     claims.open(open('r1'))
     claims.lose({ kind: 'claim.lose', ...settle })
@@ -128,7 +128,7 @@
     at: 0,
   })
 
-  it('lets only a few backend servers load weights at once', () => {
+  it('limits the number of backend servers that load weights concurrently', () => {
     const orders = createOrderState()
     for (let index = 0; index < MAX_CONCURRENT_WEIGHT_LOADS; index += 1) {
       expect(orders.issue(issue(`s${index}`), index + 1).kind).to.equal('issued')
--- a/packages/control/src/__tests__/tableUpdate.spec.ts
+++ b/packages/control/src/__tests__/tableUpdate.spec.ts
@@ -7,16 +7,16 @@
 import { buildDocument } from './feedSimulation.js'
 
 const SEED = 35
-/** Texts of which many segments recur, in any order. */
+/** Texts with many repeated segments in any order. */
 const texts = fc
   .array(fc.constantFrom('{"a":1}', '{"b":2},', '{', '}', '}}', 'tail', 'é✓'), { maxLength: 30 })
   .map((segments) => segments.join(''))
 
-/** A change of one route in a table of 5,000, packed, in bytes: 1.2 MB whole, 165 KB packed whole. */
+/** Maximum packed size of a change of one of 5,000 routes, in bytes. The full table has 1.2 MB, or 165 KB packed. */
 const SMALL_UPDATE_BYTES = 1_000
 
-describe('a patch of a text', () => {
-  it('leads from any text to any other', () => {
+describe('a text patch', () => {
+  it('transforms any text into any other', () => {
     fc.assert(
       fc.property(texts, texts, (before, after) => {
         expect(applyTextPatch(before, buildTextPatch(before, after))).to.equal(after)
@@ -26,10 +26,10 @@
   })
 })
 
-describe('an update of the table', () => {
+describe('a table update', () => {
   const table = (version: number, document: string): VersionedTable => ({ version, document })
 
-  it('costs what it changes', () => {
+  it('has a size proportional to the change', () => {
     const document = buildDocument(7, 5_000)
     const changed = document.replace('"version":7', '"version":8').replace('r-4711"', 'r-x"')
     const update = buildTableUpdate(table(7, document), table(8, changed))
@@ -37,14 +37,14 @@
     expect(applyTableUpdate(table(7, document), update)).to.deep.equal(table(8, changed))
   })
 
-  it('does not fit another version than its base, or other content under its number', () => {
+  it('does not apply to a version other than its base, or to a base with different content', () => {
     const update = buildTableUpdate(table(7, '{"a":1}{"b":1}'), table(8, '{"a":1}{"b":2}'))
     expect(applyTableUpdate(undefined, update)).to.equal(undefined)
     expect(applyTableUpdate(table(6, '{"a":1}{"b":1}'), update)).to.equal(undefined)
     expect(applyTableUpdate(table(7, '{"a":0}{"b":1}'), update)).to.equal(undefined)
   })
 
-  it('is nothing when damaged, whatever byte it is', () => {
+  it('is rejected or yields the right document when any byte is corrupt', () => {
     const held = table(7, '{"a":1}{"b":1}')
     const update = buildTableUpdate(held, table(8, '{"a":1}{"b":2}'))
     fc.assert(
@@ -58,7 +58,7 @@
   })
 })
 
-describe('the history of the table at an instance', () => {
+describe('the table history of an instance', () => {
   const createHistory = () => {
     const changes = new Subject<void>()
     let current: VersionedTable | undefined
@@ -70,7 +70,7 @@
     return { history, put }
   }
 
-  it('leads from a version before to the newest and skips those between', () => {
+  it('finds the update from an earlier version to the newest and skips intermediate versions', () => {
     const { history, put } = createHistory()
     for (const version of [3, 5, 9]) put(version)
     const update = history.findUpdate(3)
@@ -79,14 +79,14 @@
     expect(history.findUpdate(9)).to.equal(undefined)
   })
 
-  it('gives the whole table to who is far behind, or holds what was never here', () => {
+  it('finds the full table for a version that is too old or unknown', () => {
     const { history, put } = createHistory()
     for (let version = 1; version <= 40; version += 1) put(version)
     for (const from of [-1, 0, 1]) expect(history.findUpdate(from)).to.include({ base: null })
     expect(history.findUpdate(39)).to.include({ base: 39 })
   })
 
-  it('never leads back', () => {
+  it('finds no update for a version newer than its own', () => {
     const { history, put } = createHistory()
     put(7)
     expect(history.findUpdate(8)).to.equal(undefined)
--- a/packages/control/src/__tests__/weightsRollout.spec.ts
+++ b/packages/control/src/__tests__/weightsRollout.spec.ts
@@ -159,7 +159,7 @@
     expect(leader.orders).to.have.length(1)
   })
 
-  /** Records a load mark of a previous leader. */
+  /** Records the weight load status of a previous leader. */
   const markLoad = (kind: 'load.begin' | 'load.end', name: string) =>
     leader.machine.apply({ kind, server: toBackendServerId(name) }, 1)
 
--- a/packages/control/src/registry/orderLeases.ts
+++ b/packages/control/src/registry/orderLeases.ts
@@ -32,7 +32,7 @@
 /** Creates the leases of an instance that is not the leader yet. */
 export function createOrderLeases(options: OrderLeasesOptions): OrderLeases {
   const { loads, timers, orderLeaseMs } = options
-  /** When this instance last saw the load mark of an engine change. */
+  /** When this instance last saw the weight load status of an engine change. */
   const markChangedAt = new Map<ServerName, number>()
   const acquired = new Set<ServerName>()
   let leadingSince = timers.now()
