--- a/packages/control/src/state/controlMachine.ts
+++ b/packages/control/src/state/controlMachine.ts
@@ -3,7 +3,7 @@
  * registered servers and quarantined requests. Typed commands from the log change it.
  */
 import { Subject, type Observable } from 'rxjs'
-import type { ReplicatedMachine } from '../raft/types.js'
+import type { StateMachine } from '../raft/types.js'
 import {
   createClaimState,
   type ClaimState,
@@ -95,7 +95,7 @@
 export type ControlResult<Kind extends ControlCommandKind> = ControlCommands[Kind]['result']
 
 /** The state machine and its component states. */
-export interface ControlStateMachine extends ReplicatedMachine {
+export interface ControlStateMachine extends StateMachine {
   readonly config: ConfigState
   readonly claims: ClaimState
   readonly orders: OrderState
--- a/packages/router/src/relay/relayOnce.ts
+++ b/packages/router/src/relay/relayOnce.ts
@@ -1,7 +1,8 @@
 /**
- * Serves a request that may run at most once. Before it is dispatched, a durable claim names the
- * one sidecar incarnation that may run it; another dispatch follows only when that one has been
- * barred. What nobody can tell is said to be unknown, and is never run again.
+ * Serves a request that may run at most once. Before each dispatch, a durable claim records the one
+ * sidecar incarnation that may run it; another dispatch follows only after that one is barred. If
+ * it cannot be determined whether a dispatch ran, the outcome is reported as unknown and the
+ * request is never run again.
  */
 import { createHash } from 'node:crypto'
 import type { BackendServer, Fleet } from '@spoolgate/config'
@@ -14,22 +15,27 @@
 } from '@spoolgate/core'
 import { runAttempt } from './attempt.js'
 import { buildCallHeader, type CallContext } from './callContext.js'
-import { buildRefusal, chooseNext, recordDecline, type DeclineState } from './declines.js'
-import type { RelayParts } from './relayParts.js'
-import { sendAnswer, type WholeAnswer } from './sinks.js'
 import {
-  followDispatch,
-  resolveLost,
-  resolveResult,
+  createUnavailableError,
+  chooseNextServer,
+  recordDecline,
+  type DeclineState,
+} from './declines.js'
+import type { RelayDependencies } from './relayDependencies.js'
+import { sendBufferedResponse, type BufferedResponse } from './sinks.js'
+import {
+  buildDispatchAttempt,
+  resolveInterruptedDispatch,
+  resolveAttemptResult,
   type DispatchOutcome,
-} from './followDispatch.js'
+} from './dispatchOutcome.js'
 import { parseKeptAnswer, toKeptAnswer } from './keptAnswer.js'
 
 /** Idempotency key of a request. */
 export interface IdempotencyKey {
   readonly key: string
-  /** False when the router made the key, so that no earlier send can have used it. */
-  readonly isCallers: boolean
+  /** False if the router generated the key, so no earlier request can have used it. */
+  readonly isFromCaller: boolean
 }
 
 const STATUS_TIMEOUT_MS = 1_000
@@ -41,38 +47,38 @@
   return hash.update(context.body).digest('base64url')
 }
 
-function buildUnknownError(): SpoolgateError {
+function createOutcomeUnknownError(): SpoolgateError {
   return new SpoolgateError(
     'outcomeUnknown',
-    'the request may or may not have run and will not be run again; check with the service itself',
+    'it is unknown whether the request ran; it will not be run again, so check with the service',
   )
 }
 
-/** Finds which incarnation of a sidecar to name: from hints, or by asking it. */
+/** Finds the current incarnation of a sidecar from hints, or else from its status. */
 async function findIncarnation(
-  parts: RelayParts,
+  deps: RelayDependencies,
   server: BackendServer,
 ): Promise<Incarnation | undefined> {
-  const known = parts.state.hints.find(server.id)?.hints.incarnation
+  const known = deps.state.hints.find(server.id)?.hints.incarnation
   if (known) return known
   try {
     const url = `${server.sidecarUrl}/status`
     const request = { method: 'GET', url, timeoutMs: STATUS_TIMEOUT_MS }
-    return (await parts.client.sendJson<{ incarnation: Incarnation }>(request)).incarnation
+    return (await deps.client.sendJson<{ incarnation: Incarnation }>(request)).incarnation
   } catch {
     return undefined
   }
 }
 
-interface OnceState extends DeclineState {
+interface AtMostOnceState extends DeclineState {
   readonly key: IdempotencyKey
   readonly bodyHash: string
 }
 
 async function openClaim(
-  parts: RelayParts,
+  deps: RelayDependencies,
   context: CallContext,
-  state: OnceState,
+  state: AtMostOnceState,
   server: BackendServerId,
   incarnation: Incarnation,
 ): Promise<OpenClaimResult> {
@@ -80,187 +86,200 @@
   const { key, bodyHash } = state
   try {
     const command = { kind: 'claim.open', team, key: key.key, bodyHash } as const
-    return await parts.control.send<'claim.open'>({ ...command, request, server, incarnation })
+    return await deps.control.send<'claim.open'>({ ...command, request, server, incarnation })
   } catch (cause) {
     if (!(cause instanceof SpoolgateError) || cause.kind !== 'controlUnavailable') throw cause
-    // Without a claim nothing was dispatched; but an earlier send of the caller's key may have run.
-    throw new SpoolgateError('controlUnavailable', 'claims cannot be made now; try again later', {
-      notRun: !state.mayHaveRun,
-      retryAfterSeconds: 2,
-    })
+    // Nothing was dispatched without a claim, but an earlier request with the same key may have run.
+    throw new SpoolgateError(
+      'controlUnavailable',
+      'claims are unavailable at present; try again later',
+      {
+        notRun: !state.mayHaveRun,
+        retryAfterSeconds: 2,
+      },
+    )
   }
 }
 
-/** Records in the claim what became of its dispatch. */
+/** Records the outcome of a dispatch in its claim. */
 async function settleClaim(
-  parts: RelayParts,
+  deps: RelayDependencies,
   dispatch: ClaimedDispatch,
   outcome: DispatchOutcome,
 ): Promise<void> {
   const { claim, number } = dispatch
-  parts.instruments.claims.add(1, { outcome: outcome.kind })
-  parts.logger.info('claim.settled', { claim, number, outcome: outcome.kind })
+  deps.instruments.claims.add(1, { outcome: outcome.kind })
+  deps.logger.info('claim.settled', { claim, number, outcome: outcome.kind })
   if (outcome.kind === 'answered') {
-    const answer = toKeptAnswer(outcome.answer)
-    await parts.control.send<'claim.finish'>({ kind: 'claim.finish', claim, number, answer })
+    const answer = toKeptAnswer(outcome.response)
+    await deps.control.send<'claim.finish'>({ kind: 'claim.finish', claim, number, answer })
   } else if (outcome.kind === 'barred') {
-    await parts.control.send<'claim.release'>({ kind: 'claim.release', claim, number })
+    await deps.control.send<'claim.release'>({ kind: 'claim.release', claim, number })
   } else if (outcome.kind === 'unknown') {
-    await parts.control.send<'claim.lose'>({ kind: 'claim.lose', claim, number })
+    await deps.control.send<'claim.lose'>({ kind: 'claim.lose', claim, number })
   }
 }
 
 async function runDispatch(
-  parts: RelayParts,
+  deps: RelayDependencies,
   context: CallContext,
-  state: OnceState,
+  state: AtMostOnceState,
   fleet: Fleet,
   server: BackendServer,
   dispatch: ClaimedDispatch,
 ): Promise<DispatchOutcome> {
-  const shared = buildCallHeader(context, fleet, parts.timers.now(), parts.timers.wallNow())
-  const followed = followDispatch(context, server, dispatch, shared, parts)
-  const result = await runAttempt(parts, followed.request)
-  if (result.kind === 'declined') await recordDecline(parts, context, state, server, result)
+  const commonHeader = buildCallHeader(context, fleet, deps.timers.now(), deps.timers.wallNow())
+  const attempt = buildDispatchAttempt(context, server, dispatch, commonHeader, deps)
+  const result = await runAttempt(deps, attempt.request)
+  if (result.kind === 'declined') await recordDecline(deps, context, state, server, result)
   else if (result.kind !== 'finished') state.excluded.add(server.id)
   const { kind } = result
-  parts.decisions.recordAttempt(context.request, { server: server.id, outcome: kind })
-  return resolveResult(parts, followed, result)
+  deps.decisions.recordAttempt(context.request, { server: server.id, outcome: kind })
+  return resolveAttemptResult(deps, attempt, result)
 }
 
-/** Follows a dispatch that another request, perhaps of another router, was given. */
+/** Resolves a dispatch that an earlier request with the same key started, maybe on another router. */
 async function joinDispatch(
-  parts: RelayParts,
+  deps: RelayDependencies,
   context: CallContext,
   fleet: Fleet,
   dispatch: ClaimedDispatch,
 ): Promise<DispatchOutcome> {
   const server = fleet.backendServers.get(dispatch.server)
   if (!server) return { kind: 'unreachable' }
-  const shared = buildCallHeader(context, fleet, parts.timers.now(), parts.timers.wallNow())
-  return resolveLost(parts, followDispatch(context, server, dispatch, shared, parts))
+  const commonHeader = buildCallHeader(context, fleet, deps.timers.now(), deps.timers.wallNow())
+  return resolveInterruptedDispatch(
+    deps,
+    buildDispatchAttempt(context, server, dispatch, commonHeader, deps),
+  )
 }
 
-/** Takes in an outcome; returns the answer once there is one, throws what is final. */
+/**
+ * Applies an outcome: returns the response if there is one, and undefined if the request may be
+ * dispatched again.
+ * @throws SpoolgateError if the outcome is unknown or not yet known.
+ */
 async function applyOutcome(
-  parts: RelayParts,
-  state: OnceState,
+  deps: RelayDependencies,
+  state: AtMostOnceState,
   dispatch: ClaimedDispatch,
   outcome: DispatchOutcome,
-): Promise<WholeAnswer | undefined> {
+): Promise<BufferedResponse | undefined> {
   if (outcome.kind === 'unreachable') {
     throw new SpoolgateError(
       'stillRunning',
-      'the outcome is not known yet; send the same idempotency key again to learn it',
+      'the outcome is not known yet; send the request again with the same idempotency key',
       { retryAfterSeconds: 2 },
     )
   }
-  const settled = settleClaim(parts, dispatch, outcome)
+  const settled = settleClaim(deps, dispatch, outcome)
   if (outcome.kind === 'answered') {
-    // The caller has waited enough: the sidecar still holds the answer if this router dies now.
-    parts.background(settled.catch(() => parts.logger.warn('claim.unsettled', { ...dispatch })))
-    return outcome.answer
+    // Not awaited, to save the caller the delay: if this router crashes now, the sidecar still holds the response.
+    deps.trackBackgroundWork(
+      settled.catch(() => deps.logger.warn('claim.unsettled', { ...dispatch })),
+    )
+    return outcome.response
   }
   if (outcome.kind === 'unknown') {
     state.mayHaveRun = true
-    await settled.catch(() => parts.logger.warn('claim.unsettled', { ...dispatch }))
-    throw buildUnknownError()
+    await settled.catch(() => deps.logger.warn('claim.unsettled', { ...dispatch }))
+    throw createOutcomeUnknownError()
   }
   await settled
   return undefined
 }
 
-async function runClaimed(
-  parts: RelayParts,
+async function runClaimedDispatches(
+  deps: RelayDependencies,
   context: CallContext,
-  state: OnceState,
-): Promise<WholeAnswer> {
+  state: AtMostOnceState,
+): Promise<BufferedResponse> {
   for (let dispatches = 0; dispatches < MAX_DISPATCHES; dispatches += 1) {
-    const fleet = parts.config.current()
+    const fleet = deps.config.current()
     if (!fleet) throw new SpoolgateError('controlUnavailable', 'no configuration yet; try later')
-    const { server } = (await chooseNext(parts, context, state, fleet)).chosen
-    const incarnation = await findIncarnation(parts, server)
+    const { server } = (await chooseNextServer(deps, context, state, fleet)).chosen
+    const incarnation = await findIncarnation(deps, server)
     if (!incarnation) {
       state.excluded.add(server.id)
       continue
     }
-    const opened = await openClaim(parts, context, state, server.id, incarnation)
-    const answer = await takeOpened(parts, context, state, fleet, server, opened)
-    if (answer) return answer
+    const openResult = await openClaim(deps, context, state, server.id, incarnation)
+    const response = await handleOpenResult(deps, context, state, fleet, server, openResult)
+    if (response) return response
   }
-  throw buildRefusal(state)
+  throw createUnavailableError(state)
 }
 
-async function takeOpened(
-  parts: RelayParts,
+async function handleOpenResult(
+  deps: RelayDependencies,
   context: CallContext,
-  state: OnceState,
+  state: AtMostOnceState,
   fleet: Fleet,
   server: BackendServer,
-  opened: OpenClaimResult,
-): Promise<WholeAnswer | undefined> {
-  switch (opened.kind) {
+  openResult: OpenClaimResult,
+): Promise<BufferedResponse | undefined> {
+  switch (openResult.kind) {
     case 'granted': {
-      const { dispatch } = opened
-      // A grant means that every earlier dispatch of this key was barred.
+      const { dispatch } = openResult
+      // A grant implies that every earlier dispatch of this key is barred.
       state.mayHaveRun = false
-      const outcome = await runDispatch(parts, context, state, fleet, server, dispatch)
-      return applyOutcome(parts, state, dispatch, outcome)
+      const outcome = await runDispatch(deps, context, state, fleet, server, dispatch)
+      return applyOutcome(deps, state, dispatch, outcome)
     }
     case 'running': {
-      const outcome = await joinDispatch(parts, context, fleet, opened.dispatch)
-      return applyOutcome(parts, state, opened.dispatch, outcome)
+      const outcome = await joinDispatch(deps, context, fleet, openResult.dispatch)
+      return applyOutcome(deps, state, openResult.dispatch, outcome)
     }
     case 'finished':
-      if (opened.answer) return parseKeptAnswer(opened.answer)
+      if (openResult.answer) return parseKeptAnswer(openResult.answer)
       throw new SpoolgateError(
         'conflict',
-        'this request has run; its answer was too large to keep, so ask the service for the result',
+        'this request has run, but its response was too large to store; get the result from the service',
         { notRun: false },
       )
     case 'conflict':
       throw new SpoolgateError(
         'conflict',
-        'this idempotency key was used with another body; choose a new key for a new request',
+        'this idempotency key was used with a different request; use a new key for a new request',
       )
     case 'unknown':
-      throw buildUnknownError()
+      throw createOutcomeUnknownError()
   }
 }
 
-/** Serves an unrepeatable request to its end. */
+/** Serves an unrepeatable request. */
 export async function relayOnce(
-  parts: RelayParts,
+  deps: RelayDependencies,
   context: CallContext,
   key: IdempotencyKey,
 ): Promise<void> {
-  const state: OnceState = {
+  const state: AtMostOnceState = {
     key,
     bodyHash: hashBody(context),
     excluded: new Set(),
     retryAfterMs: undefined,
-    // An earlier send of the caller's key may have run; only the claim can tell.
-    mayHaveRun: key.isCallers,
-    misses: 0,
+    // An earlier request with the key of the caller may have run; only the claim shows whether it did.
+    mayHaveRun: key.isFromCaller,
+    latencyDeclines: 0,
   }
   const team = context.team
   try {
-    const work = runClaimed(parts, context, state)
-    parts.background(work.catch(() => {}))
-    const answer = await work
-    parts.instruments.requests.add(1, { team, policy: 'once', outcome: 'finished' })
-    parts.decisions.recordOutcome(context.request, 'finished', undefined)
+    const responsePromise = runClaimedDispatches(deps, context, state)
+    deps.trackBackgroundWork(responsePromise.catch(() => {}))
+    const response = await responsePromise
+    deps.instruments.requests.add(1, { team, policy: 'once', outcome: 'finished' })
+    deps.decisions.recordOutcome(context.request, 'finished', undefined)
     context.response.setHeader('idempotency-key', key.key)
-    sendAnswer(context.response, answer)
+    sendBufferedResponse(context.response, response)
   } catch (cause) {
     const error = toSpoolgateError(cause)
     const outcome = error.kind
-    parts.invariants.assert(
+    deps.invariants.assert(
       'notRunIsTrue',
       !error.notRun || !state.mayHaveRun || outcome === 'conflict',
     )
-    parts.instruments.requests.add(1, { team, policy: 'once', outcome })
-    parts.decisions.recordOutcome(context.request, outcome, undefined)
+    deps.instruments.requests.add(1, { team, policy: 'once', outcome })
+    deps.decisions.recordOutcome(context.request, outcome, undefined)
     throw cause
   }
 }
