--- a/packages/control/src/__tests__/groupModel.ts
+++ b/packages/control/src/__tests__/groupModel.ts
@@ -360,10 +360,17 @@
   const voters = Math.min(founders, wantedVoters)
   const names = Array.from({ length: founders }, (_, index) => `m${index}`)
   const group = await createTestGroup(names, seed, 8 + random.nextInt(40))
-  const steps = createMembershipDriver({ group, targetVoters: wantedVoters })
+  const membershipDriver = createMembershipDriver({ group, targetVoters: wantedVoters })
   const maxLostDisks = Math.min(losses, Math.floor(voters / 2))
   const maxLostMachines = Math.min(losses, Math.floor((voters - 1) / 2))
-  const simulation = new GroupSimulation(seed, random, group, steps, maxLostDisks, maxLostMachines)
+  const simulation = new GroupSimulation(
+    seed,
+    random,
+    group,
+    membershipDriver,
+    maxLostDisks,
+    maxLostMachines,
+  )
   try {
     await simulation.run(ELECTION_MS * 5)
     for (let action = 0; action < ACTIONS; action += 1) {
--- a/packages/control/src/__tests__/groupPlan.spec.ts
+++ b/packages/control/src/__tests__/groupPlan.spec.ts
@@ -35,15 +35,15 @@
 }
 
 describe('the membership plan of the control group', () => {
-  const whole = { a: 'voter', b: 'voter', c: 'voter' } as const
+  const fullGroup = { a: 'voter', b: 'voter', c: 'voter' } as const
 
   it('plans no change for a complete group with an additional learner', () => {
-    expect(findMembershipStep(buildInput({ ...whole, d: 'learner' }))).to.equal(undefined)
+    expect(findMembershipStep(buildInput({ ...fullGroup, d: 'learner' }))).to.equal(undefined)
   })
 
   it('adds an instance that requests to join as a learner', () => {
     const step = findMembershipStep(
-      buildInput(whole, {}, { joinRequests: [{ name: 'd', url: 'http://d' }] }),
+      buildInput(fullGroup, {}, { joinRequests: [{ name: 'd', url: 'http://d' }] }),
     )
     expect(step?.members.d).to.deep.equal({ url: 'http://d', kind: 'learner' })
   })
@@ -57,19 +57,19 @@
 
   it('replaces a silent voter with a learner, one step at a time', () => {
     const views = { c: SILENT }
-    const first = findMembershipStep(buildInput({ ...whole, d: 'learner' }, views))
+    const first = findMembershipStep(buildInput({ ...fullGroup, d: 'learner' }, views))
     expect(first?.members.d.kind).to.equal('voter')
     expect(first?.members.c.kind).to.equal('voter')
-    const second = findMembershipStep(buildInput({ ...whole, d: 'voter' }, views))
+    const second = findMembershipStep(buildInput({ ...fullGroup, d: 'voter' }, views))
     expect(second?.members.c.kind).to.equal('learner')
   })
 
   it('keeps a silent voter when no learner can replace it', () => {
-    expect(findMembershipStep(buildInput(whole, { c: SILENT }))).to.equal(undefined)
+    expect(findMembershipStep(buildInput(fullGroup, { c: SILENT }))).to.equal(undefined)
   })
 
   it('demotes a silent voter of an odd group, which does not change the size of the majority', () => {
-    const kinds = { ...whole, d: 'voter', e: 'voter' } as const
+    const kinds = { ...fullGroup, d: 'voter', e: 'voter' } as const
     const five = findMembershipStep(buildInput(kinds, { e: AWAY }, { targetVoters: 5 }))
     expect(five?.members.e.kind).to.equal('learner')
     const seven = { ...kinds, f: 'voter', g: 'voter' } as const
@@ -82,7 +82,7 @@
   })
 
   it('keeps a silent voter when entries would be stored on fewer disks without it', () => {
-    const four = { ...whole, d: 'voter' } as const
+    const four = { ...fullGroup, d: 'voter' } as const
     expect(findMembershipStep(buildInput(four, { d: AWAY }, { targetVoters: 5 }))).to.equal(
       undefined,
     )
@@ -90,13 +90,13 @@
     expect(findMembershipStep(buildInput(two, { b: AWAY }, { targetVoters: 5 }))).to.equal(
       undefined,
     )
-    expect(findMembershipStep(buildInput(whole, { c: AWAY }, { targetVoters: 5 }))).to.equal(
+    expect(findMembershipStep(buildInput(fullGroup, { c: AWAY }, { targetVoters: 5 }))).to.equal(
       undefined,
     )
   })
 
   it('demotes silent voters one at a time and promotes them again when they return', () => {
-    const five = { ...whole, d: 'voter', e: 'voter' } as const
+    const five = { ...fullGroup, d: 'voter', e: 'voter' } as const
     const input = { targetVoters: 5 }
     const step = findMembershipStep(buildInput(five, { d: AWAY, e: AWAY }, input))
     const kinds = Object.values(step?.members ?? {}).map(({ kind }) => kind)
@@ -108,7 +108,7 @@
 
   it('removes a voter when an instance with an empty disk joins from its address', () => {
     const joiners = [{ name: 'c#new', url: 'http://c' }]
-    const first = findMembershipStep(buildInput(whole, {}, { joinRequests: joiners }))
+    const first = findMembershipStep(buildInput(fullGroup, {}, { joinRequests: joiners }))
     expect(first?.members).to.not.have.property('c')
     const second = findMembershipStep(
       buildInput({ a: 'voter', b: 'voter' }, {}, { joinRequests: joiners }),
@@ -118,7 +118,9 @@
 
   it('removes a learner that stays silent, but never the leader', () => {
     const gone = { silentMs: REMOVE_LEARNER_AFTER_MS + 1, isCaughtUp: false }
-    const step = findMembershipStep(buildInput({ ...whole, d: 'learner' }, { d: gone, a: gone }))
+    const step = findMembershipStep(
+      buildInput({ ...fullGroup, d: 'learner' }, { d: gone, a: gone }),
+    )
     expect(step?.members).to.have.all.keys('a', 'b', 'c')
   })
 })
--- a/packages/control/src/__tests__/groupSteps.ts
+++ b/packages/control/src/__tests__/groupSteps.ts
@@ -27,10 +27,10 @@
 
 /** Creates the driver; running instances that are not members request to join. */
 export function createMembershipDriver(options: MembershipDriverOptions): MembershipDriver {
-  const { group, targetVoters: wantedVoters } = options
+  const { group, targetVoters } = options
   const leaderships = new Map<string, { readonly term: number; readonly since: number }>()
 
-  const buildInput = (leader: TestMember, since: number): MembershipPlanInput => {
+  const buildPlanInput = (leader: TestMember, since: number): MembershipPlanInput => {
     const { members, commitIndex } = leader.member.status()
     const joiners = [...group.members.values()]
       .filter((other) => !(other.name in members) && isLinked(group, leader, other))
@@ -39,7 +39,7 @@
       leader: leader.name,
       members,
       joinRequests: joiners,
-      targetVoters: wantedVoters,
+      targetVoters,
       findHealth: (name) => {
         if (name === leader.name) return { silentMs: 0, isCaughtUp: true }
         const found = leader.member.listFollowers().find((follower) => follower.name === name)
@@ -57,7 +57,7 @@
       const known = leaderships.get(leader.name)
       const since = known?.term === term ? known.since : leader.timers.now()
       leaderships.set(leader.name, { term, since })
-      const step = findMembershipStep(buildInput(leader, since))
+      const step = findMembershipStep(buildPlanInput(leader, since))
       // Rejected while another change is in progress; the outcome is unknown when leadership is lost.
       if (step) leader.member.changeMembers(step.members).catch(() => {})
     },
--- a/packages/control/src/__tests__/lossesBorne.spec.ts
+++ b/packages/control/src/__tests__/lossesBorne.spec.ts
@@ -171,9 +171,13 @@
     await group.runUntil(isIn, 'the learner is taken in')
     await group.run(ELECTION_MS)
   }
-  const cutBetween = (group: TestGroup, some: readonly string[], others: readonly string[]) => {
-    for (const one of some) {
-      for (const other of others) group.cutLinks.add(`${one}>${other}`).add(`${other}>${one}`)
+  const partitionGroup = (
+    group: TestGroup,
+    firstSide: readonly string[],
+    secondSide: readonly string[],
+  ) => {
+    for (const one of firstSide) {
+      for (const other of secondSide) group.cutLinks.add(`${one}>${other}`).add(`${other}>${one}`)
     }
   }
 
@@ -185,7 +189,7 @@
       const [next, third] = names.filter((name) => name !== old.name)
       await addLearner(group, old, 'x')
       // The change reaches only the new voter; the other two members elect a leader and acknowledge entries without it.
-      cutBetween(group, [old.name, 'x'], [next, third])
+      partitionGroup(group, [old.name, 'x'], [next, third])
       startChange(old, 'x', 'voter')
       const other = await group.waitForLeader(old.name)
       await group.propose(other, buildTableCommand(7))
@@ -211,7 +215,7 @@
       const [lost, ...others] = names.filter((name) => name !== old.name)
       await addLearner(group, old, 'x')
       // The leader, another member and the new voter are three of the five new voters, but two of the four old ones.
-      cutBetween(group, [old.name, 'x'], others)
+      partitionGroup(group, [old.name, 'x'], others)
       startChange(old, 'x', 'voter')
       await group.run(ELECTION_MS * 1.5)
       await group.loseDisks([lost])
--- a/packages/control/src/client/configFollower.ts
+++ b/packages/control/src/client/configFollower.ts
@@ -63,7 +63,7 @@
   const fleets = new BehaviorSubject<Fleet | undefined>(undefined)
   const changes = fleets.pipe(filter((fleet): fleet is Fleet => fleet !== undefined))
   let source: FleetConfigInput = toCanonicalForm({})
-  let fetching: Promise<void> | undefined
+  let fetchInProgress: Promise<void> | undefined
 
   const version = () => fleets.value?.version ?? NO_VERSION
   const install = (next: FleetConfigInput, at: number) => {
@@ -132,11 +132,11 @@
     changes,
     version,
     observeVersion: (seen, url) => {
-      if (seen <= version() || fetching) return
-      fetching = fetchFrom(url, 0, FETCH_TIMEOUT_MS)
+      if (seen <= version() || fetchInProgress) return
+      fetchInProgress = fetchFrom(url, 0, FETCH_TIMEOUT_MS)
         .catch((cause) => logger.debug('config.fetchFailed', { url, reason: String(cause) }))
         .finally(() => {
-          fetching = undefined
+          fetchInProgress = undefined
         })
     },
     waitForVersion: (wanted, timeoutMs) => {
--- a/packages/control/src/client/controlClient.ts
+++ b/packages/control/src/client/controlClient.ts
@@ -48,9 +48,9 @@
     return urls[(index + 1) % urls.length]
   }
   /** Selects the URL of the next attempt; rethrows errors that a retry cannot resolve. */
-  const handleFailure = (cause: unknown, tried: string) => {
+  const handleFailure = (cause: unknown, failedUrl: string) => {
     if (cause instanceof ConnectionError) {
-      preferredUrl = findNextUrl(tried)
+      preferredUrl = findNextUrl(failedUrl)
       return
     }
     const isTransient =
@@ -58,19 +58,19 @@
       (cause.kind === 'notLeader' || cause.kind === 'controlUnavailable')
     if (!isTransient) throw cause
     const details = cause.details as { leaderUrl?: string } | undefined
-    preferredUrl = details?.leaderUrl ?? findNextUrl(tried)
+    preferredUrl = details?.leaderUrl ?? findNextUrl(failedUrl)
   }
   const request = async <T>(method: string, path: string, json?: unknown): Promise<T> => {
     const deadline = timers.now() + (options.timeoutMs ?? DEFAULT_TIMEOUT_MS)
     while (timers.now() < deadline) {
-      const tried = preferredUrl
+      const url = preferredUrl
       const timeoutMs = Math.min(ATTEMPT_TIMEOUT_MS, Math.max(1, deadline - timers.now()))
       try {
-        return await client.sendJson<T>({ method, url: `${tried}${path}`, json, timeoutMs })
+        return await client.sendJson<T>({ method, url: `${url}${path}`, json, timeoutMs })
       } catch (cause) {
-        handleFailure(cause, tried)
+        handleFailure(cause, url)
       }
-      if (preferredUrl === tried || urls.length > 1) await waitFor(timers, RETRY_DELAY_MS)
+      if (preferredUrl === url || urls.length > 1) await waitFor(timers, RETRY_DELAY_MS)
     }
     throw new SpoolgateError('controlUnavailable', 'no control leader answered; try again later', {
       notRun: false,
