--- a/packages/control/src/state/serverState.ts
+++ b/packages/control/src/state/serverState.ts
@@ -183,7 +183,7 @@
     find: (id) => servers.get(id),
     findByName,
     list: () => [...servers.values()],
-    isIncarnationEnded: isIncarnationEnded,
+    isIncarnationEnded,
     revision: () => revision,
     observe: ({ server: saved }) => {
       const server = toRegisteredServer(saved)
