--- a/packages/control/src/__tests__/groupModel.ts
+++ b/packages/control/src/__tests__/groupModel.ts
@@ -4,7 +4,7 @@
  */
 import { createRandomSource, type RandomSource } from '@spoolgate/core'
 import { createTestGroup, ELECTION_MS, type TestGroup, type TestMember } from './group.js'
-import { createGroupSteps, type GroupSteps } from './groupSteps.js'
+import { createMembershipDriver, type MembershipDriver } from './groupSteps.js'
 import type { MemberMap } from '../raft/messages.js'
 import type { MemoryFolder } from './memoryFolder.js'
 
@@ -68,7 +68,7 @@
     readonly seed: number,
     readonly random: RandomSource,
     readonly group: TestGroup,
-    readonly steps: GroupSteps,
+    readonly steps: MembershipDriver,
     /** Maximum number of disks lost at the same time. */
     readonly maxLostDisks: number,
     /** Maximum number of these lost for good with their machine. */
@@ -363,10 +363,17 @@
   const voters = Math.min(founders, wantedVoters)
   const names = Array.from({ length: founders }, (_, index) => `m${index}`)
   const group = await createTestGroup(names, seed, 8 + random.nextInt(40))
-  const steps = createGroupSteps({ group, wantedVoters })
+  const membershipDriver = createMembershipDriver({ group, targetVoters: wantedVoters })
   const maxLostDisks = Math.min(losses, Math.floor(voters / 2))
   const maxLostMachines = Math.min(losses, Math.floor((voters - 1) / 2))
-  const simulation = new GroupSimulation(seed, random, group, steps, maxLostDisks, maxLostMachines)
+  const simulation = new GroupSimulation(
+    seed,
+    random,
+    group,
+    membershipDriver,
+    maxLostDisks,
+    maxLostMachines,
+  )
   try {
     await simulation.run(ELECTION_MS * 5)
     for (let action = 0; action < ACTIONS; action += 1) {
--- a/packages/control/src/__tests__/groupSteps.ts
+++ b/packages/control/src/__tests__/groupSteps.ts
@@ -1,21 +1,21 @@
-/** Drives a group in memory by the plan that the leader's keeper follows. */
-import { findGroupStep, type GroupPlanInput } from '../group/groupPlan.js'
+/** Applies the membership plan to an in-memory group, as the leader's membership manager does. */
+import { findMembershipStep, type MembershipPlanInput } from '../group/groupPlan.js'
 import type { TestGroup, TestMember } from './group.js'
 
-/** Options of {@link createGroupSteps}. */
-export interface GroupStepsOptions {
+/** Options of {@link createMembershipDriver}. */
+export interface MembershipDriverOptions {
   readonly group: TestGroup
-  /** Voters that the group should have. */
-  readonly wantedVoters: number
+  /** Target number of voters. */
+  readonly targetVoters: number
 }
 
-/** See {@link createGroupSteps}. */
-export interface GroupSteps {
-  /** Lets whoever leads change its group by the next step, if one is due. */
+/** See {@link createMembershipDriver}. */
+export interface MembershipDriver {
+  /** Lets the current leader apply the next membership step, if one is due. */
   apply(): void
 }
 
-/** Whether messages pass between two instances in both directions. */
+/** Whether messages are delivered between two instances in both directions. */
 function isLinked(
   { cutLinks: cut, frozenMembers: frozen }: TestGroup,
   a: TestMember,
@@ -25,12 +25,12 @@
   return !isCut && !frozen.has(a.name) && !frozen.has(b.name)
 }
 
-/** Creates the driver; instances that run and are no members ask to be taken in. */
-export function createGroupSteps(options: GroupStepsOptions): GroupSteps {
-  const { group, wantedVoters } = options
-  const led = new Map<string, { readonly term: number; readonly since: number }>()
+/** Creates the driver; running instances that are not members request to join. */
+export function createMembershipDriver(options: MembershipDriverOptions): MembershipDriver {
+  const { group, targetVoters } = options
+  const leaderships = new Map<string, { readonly term: number; readonly since: number }>()
 
-  const buildInput = (leader: TestMember, since: number): GroupPlanInput => {
+  const buildPlanInput = (leader: TestMember, since: number): MembershipPlanInput => {
     const { members, commitIndex } = leader.member.status()
     const joiners = [...group.members.values()]
       .filter((other) => !(other.name in members) && isLinked(group, leader, other))
@@ -38,9 +38,9 @@
     return {
       leader: leader.name,
       members,
-      joiners,
-      wantedVoters,
-      findView: (name) => {
+      joinRequests: joiners,
+      targetVoters,
+      findHealth: (name) => {
         if (name === leader.name) return { silentMs: 0, isCaughtUp: true }
         const found = leader.member.listFollowers().find((follower) => follower.name === name)
         const receivedAt = Math.max(found?.confirmedAt ?? -Infinity, since)
@@ -54,11 +54,11 @@
       const leader = group.leader()
       if (!leader) return
       const { term } = leader.member.status()
-      const known = led.get(leader.name)
+      const known = leaderships.get(leader.name)
       const since = known?.term === term ? known.since : leader.timers.now()
-      led.set(leader.name, { term, since })
-      const step = findGroupStep(buildInput(leader, since))
-      // Refused while another change is in progress, and not known when leadership is lost.
+      leaderships.set(leader.name, { term, since })
+      const step = findMembershipStep(buildPlanInput(leader, since))
+      // Rejected while another change is in progress; the outcome is unknown when leadership is lost.
       if (step) leader.member.changeMembers(step.members).catch(() => {})
     },
   }
--- a/packages/control/src/registry/orderLeases.ts
+++ b/packages/control/src/registry/orderLeases.ts
@@ -5,11 +5,11 @@
  * 3.5 s after each leader change.
  */
 import type { ServerName, TimerService } from '@spoolgate/core'
-import type { LoadState } from '../state/loadState.js'
+import type { WeightLoadState } from '../state/weightLoadState.js'
 
 /** Options of {@link createOrderLeases}. */
 export interface OrderLeasesOptions {
-  readonly loads: LoadState
+  readonly loads: WeightLoadState
   readonly timers: TimerService
   /** Time for which orders of a previous leader may still take effect, in ms. */
   readonly orderLeaseMs: number
@@ -32,7 +32,7 @@
 /** Creates the leases of an instance that is not the leader yet. */
 export function createOrderLeases(options: OrderLeasesOptions): OrderLeases {
   const { loads, timers, orderLeaseMs } = options
-  /** When this instance last saw the load mark of an engine change. */
+  /** When this instance last saw the weight load status of an engine change. */
   const markChangedAt = new Map<ServerName, number>()
   const acquired = new Set<ServerName>()
   let leadingSince = timers.now()
--- a/packages/control/src/server/controlServer.ts
+++ b/packages/control/src/server/controlServer.ts
@@ -1,4 +1,4 @@
-/** A control instance: the replicated log, its machine and the HTTP routes over them. */
+/** Control instance: replicated log, state machine and HTTP routes. */
 import { resolveFleetConfig, type Fleet } from '@spoolgate/config'
 import {
   createDaemonRoutes,
@@ -20,7 +20,7 @@
 import { createRaftMember } from '../raft/member.js'
 import type { RaftMember } from '../raft/types.js'
 import type { MemberMap } from '../raft/messages.js'
-import { createControlMachine, type ControlMachine } from '../state/controlMachine.js'
+import { createControlStateMachine, type ControlStateMachine } from '../state/controlMachine.js'
 import { createConfigRoutes } from './configRoutes.js'
 import { createGroupRoutes } from './groupRoutes.js'
 import { createNodeVersions } from './nodeVersions.js'
@@ -28,16 +28,16 @@
 import { createHttpTransport } from './raftTransport.js'
 import { createShareLedger } from './shareLedger.js'
 
-/** Options of {@link createControl}. */
-export interface ControlOptions {
+/** Options of {@link createControlServer}. */
+export interface ControlServerOptions {
   readonly member: string
-  /** URLs of the founders, by name; undefined for a group of this member alone. */
+  /** Founder URLs by member name; undefined for a single-member group. */
   readonly founders?: Readonly<Record<string, string>>
-  /** Whether an empty data folder founds the group. */
+  /** Whether an instance with an empty data folder creates the group. */
   readonly isFounding: boolean
   readonly host: string
   readonly port: number
-  /** Folder on the disk, or a folder that a test made. */
+  /** Path of the data folder, or a folder implementation supplied by a test. */
   readonly dataFolder: string | DataFolder
   readonly processKey: string
   readonly operatorKey: string
@@ -52,41 +52,41 @@
   /** @default 1000 */
   readonly snapshotEvery?: number
   /**
-   * Milliseconds for which a settled claim, with its answer, is kept.
-   * @default 86400000, a day
+   * Time for which a settled claim and its response are stored, in ms.
+   * @default 86400000 (one day)
    */
   readonly claimRetentionMs?: number
   /**
-   * Time between two looks of repair at the fleet, in ms.
+   * Time between two repair checks of the fleet, in ms.
    * @default 1000
    */
   readonly repairPeriodMs?: number
   /**
-   * Whether a violated invariant ends the run.
+   * Whether a violated invariant terminates the process.
    * @default false
    */
   readonly isFatal?: boolean
   /**
-   * Seed of the election timeouts.
+   * Seed of the randomised election timeouts.
    * @default drawn from the clock
    */
   readonly seed?: number
   /**
-   * Links to members that are cut; for tests and soak runs.
-   * @default none
+   * Whether the link to a member is cut, which simulates a network partition in tests and soak runs.
+   * @default no link is cut
    */
   readonly isCut?: (member: string) => boolean
-  /** Called when the disk failed; the daemon must then end. */
+  /** Called after a disk failure; the daemon must then exit. */
   readonly onFailure?: (cause: unknown) => void
 }
 
 /** A running control instance. */
-export interface Control {
+export interface ControlServer {
   readonly url: string
   readonly member: RaftMember
-  readonly machine: ControlMachine
+  readonly machine: ControlStateMachine
   readonly invariants: Invariants
-  /** Bytes over all connections to this instance so far. */
+  /** Total bytes transferred over all connections to this instance. */
   traffic(): TrafficCount
   close(drainMs?: number): Promise<CloseReport>
 }
@@ -98,32 +98,32 @@
 const CLAIM_EXPIRY_PERIOD_MS = 600_000
 const DEFAULT_DRAIN_MS = 2_000
 
-function createFounderMap(options: ControlOptions, ownUrl: string): MemberMap {
+function createFounderMap(options: ControlServerOptions, ownUrl: string): MemberMap {
   const founders = options.founders ?? { [options.member]: ownUrl }
   return Object.fromEntries(
     Object.entries(founders).map(([name, url]) => [name, { url, kind: 'voter' }]),
   )
 }
 
-/** Resolves the configuration in force, once for each version. */
-function createFleetReader(machine: ControlMachine): () => Fleet | undefined {
-  let known: Fleet | undefined
+/** Creates a getter of the resolved configuration in force, which is cached by version. */
+function createFleetReader(machine: ControlStateMachine): () => Fleet | undefined {
+  let cached: Fleet | undefined
   return () => {
     const version = machine.config.version()
-    if (known?.version !== version) {
-      known = resolveFleetConfig(machine.config.source(), version).unwrapOr(undefined)
+    if (cached?.version !== version) {
+      cached = resolveFleetConfig(machine.config.source(), version).unwrapOr(undefined)
     }
-    return known
+    return cached
   }
 }
 
-/** Creates a control instance and waits until it listens. */
-export async function createControl(options: ControlOptions): Promise<Control> {
+/** Creates a control instance and waits until it is listening. */
+export async function createControlServer(options: ControlServerOptions): Promise<ControlServer> {
   const { logger, timers, processKey, operatorKey } = options
   const metrics = createMetrics('control')
   const invariants = createInvariants({ logger, metrics, fatal: options.isFatal })
   const electionMs = options.electionMs ?? DEFAULT_ELECTION_MS
-  const machine = createControlMachine()
+  const machine = createControlStateMachine()
   const client = createHttpClient({ key: processKey, caFile: options.tls?.caFile })
   const isCut = options.isCut ?? (() => false)
   const folder =
@@ -173,14 +173,14 @@
     invariants,
     findParameters: (team) => findFleet()?.teams.get(team)?.parameters,
   })
-  const shared = { member, machine, timers, processKey, operatorKey }
+  const sharedOptions = { member, machine, timers, processKey, operatorKey }
   server.addRoutes([
     ...createDaemonRoutes({ metrics, findUnreadyReason }),
-    ...createConfigRoutes({ ...shared, nodes: createNodeVersions(timers), stopping }),
-    ...createGroupRoutes({ ...shared, isCut, ledger }),
+    ...createConfigRoutes({ ...sharedOptions, nodes: createNodeVersions(timers), stopping }),
+    ...createGroupRoutes({ ...sharedOptions, isCut, ledger }),
   ])
 
-  const repair = createOrderRunner({
+  const orderRunner = createOrderRunner({
     member,
     machine,
     client,
@@ -190,7 +190,7 @@
     periodMs: options.repairPeriodMs,
   })
   const retentionMs = options.claimRetentionMs ?? DEFAULT_CLAIM_RETENTION_MS
-  const expiry = timers.every(CLAIM_EXPIRY_PERIOD_MS).subscribe(() => {
+  const claimExpiry = timers.every(CLAIM_EXPIRY_PERIOD_MS).subscribe(() => {
     if (member.status().role !== 'leader') return
     const at = timers.wallNow()
     member.propose({ kind: 'claim.expire', before: at - retentionMs, at }).catch(() => {})
@@ -205,8 +205,8 @@
     traffic: server.traffic,
     close: async (drainMs = DEFAULT_DRAIN_MS) => {
       stopping.next()
-      expiry.unsubscribe()
-      await repair.close()
+      claimExpiry.unsubscribe()
+      await orderRunner.close()
       const report = await server.close(drainMs)
       await member.close()
       client.close()
--- a/packages/router/src/relay/declines.ts
+++ b/packages/router/src/relay/declines.ts
@@ -43,7 +43,7 @@
     reason: decline.declined,
   })
   if (decline.declined === 'olderConfiguration') {
-    deps.config.noteVersion(hints.configVersion, server.sidecarUrl)
+    deps.config.observeVersion(hints.configVersion, server.sidecarUrl)
     const isCaughtUp = await deps.config.waitForVersion(hints.configVersion, CONFIG_WAIT_TIMEOUT_MS)
     if (isCaughtUp) return
   }
--- a/packages/router/src/relay/keptAnswer.ts
+++ b/packages/router/src/relay/keptAnswer.ts
@@ -1,12 +1,12 @@
 /** Conversion of responses to unrepeatable requests to and from the form stored in claims. */
-import type { KeptAnswer } from '@spoolgate/control'
+import type { StoredResponse } from '@spoolgate/control'
 import type { BufferedResponse } from './sinks.js'
 
 /** Largest response body that a claim stores, in bytes. */
 const MAX_STORED_BODY_BYTES = 256 * 1024
 
 /** Converts a response for storage in a claim; undefined if it is too large. */
-export function toKeptAnswer(response: BufferedResponse): KeptAnswer | undefined {
+export function toKeptAnswer(response: BufferedResponse): StoredResponse | undefined {
   if (response.body.length > MAX_STORED_BODY_BYTES) return undefined
   const text = response.body.toString('utf8')
   const isBase64 = !Buffer.from(text, 'utf8').equals(response.body)
@@ -15,7 +15,7 @@
 }
 
 /** Restores a response that a claim stores. */
-export function parseKeptAnswer(stored: KeptAnswer): BufferedResponse {
+export function parseKeptAnswer(stored: StoredResponse): BufferedResponse {
   const body = Buffer.from(stored.body, stored.isBase64 ? 'base64' : 'utf8')
   return { head: { status: stored.status, contentType: stored.contentType }, body }
 }
--- a/packages/router/src/relay/relayOnce.ts
+++ b/packages/router/src/relay/relayOnce.ts
@@ -6,7 +6,7 @@
  */
 import { createHash } from 'node:crypto'
 import type { BackendServer, Fleet } from '@spoolgate/config'
-import type { ClaimedDispatch, OpenResult } from '@spoolgate/control'
+import type { ClaimedDispatch, OpenClaimResult } from '@spoolgate/control'
 import {
   SpoolgateError,
   toSpoolgateError,
@@ -81,7 +81,7 @@
   state: AtMostOnceState,
   server: BackendServerId,
   incarnation: Incarnation,
-): Promise<OpenResult> {
+): Promise<OpenClaimResult> {
   const { team, request } = context
   const { key, bodyHash } = state
   try {
@@ -216,7 +216,7 @@
   state: AtMostOnceState,
   fleet: Fleet,
   server: BackendServer,
-  openResult: OpenResult,
+  openResult: OpenClaimResult,
 ): Promise<BufferedResponse | undefined> {
   switch (openResult.kind) {
     case 'granted': {
