--- a/packages/router/src/__tests__/quotaAdmission.spec.ts
+++ b/packages/router/src/__tests__/quotaAdmission.spec.ts
@@ -42,18 +42,18 @@
   })
   credits.applyGrants({ term: 1, sequence: 0, grants: [], scarce }, 0)
   const admit = (cost: number) => admission.admit({ team: TEAM, quota: QUOTA, cost })
-  return { timers, admit, countQuestions: () => queries }
+  return { timers, admit, countQueries: () => queries }
 }
 
 describe('quota admission', () => {
   it('does not wait for a slow leader while the team is not scarce', async () => {
-    const { admit, countQuestions: countQueries } = createRouter([])
+    const { admit, countQueries } = createRouter([])
     for (const cost of [100, 100, 100]) expect((await admit(cost)).kind).to.equal('admitted')
     expect(countQueries()).to.equal(0)
   })
 
   it('refuses a scarce team after the query timeout, with one query for all waiting requests', async () => {
-    const { timers, admit, countQuestions: countQueries } = createRouter([KEY])
+    const { timers, admit, countQueries } = createRouter([KEY])
     const verdicts = Promise.all([admit(100), admit(100)])
     timers.advance(REPLY_WAIT_MS)
     await new Promise((resolve) => setImmediate(resolve))
--- a/packages/router/src/__tests__/quotaCredits.spec.ts
+++ b/packages/router/src/__tests__/quotaCredits.spec.ts
@@ -97,7 +97,7 @@
     },
   }
   const run = (step: Step) => (handlers[step.kind] as (step: Step) => void)(step)
-  return { run, ran: admitted, buckets }
+  return { run, admitted, buckets }
 }
 
 function findMaxWindowCost(
@@ -152,7 +152,7 @@
       fc.property(fc.array(STEP, { minLength: 50, maxLength: 600 }), (steps) => {
         const simulation = createSimulation()
         for (const step of steps) simulation.run(step)
-        expect(findMaxWindowCost(simulation.ran)).to.be.at.most(MAX_WINDOW_COST)
+        expect(findMaxWindowCost(simulation.admitted)).to.be.at.most(MAX_WINDOW_COST)
       }),
       { seed: 52, numRuns: 300 },
     )
@@ -212,10 +212,10 @@
   it('allow only an equal share without a leader, and do not accumulate it', () => {
     const simulation = createSimulation()
     for (let step = 0; step < 200; step += 1) simulation.run({ kind: 'use', router: 0, cost: 50 })
-    const first = simulation.ran.length
+    const first = simulation.admitted.length
     simulation.run({ kind: 'wait', ms: 60_000 })
     for (let step = 0; step < 200; step += 1) simulation.run({ kind: 'use', router: 0, cost: 50 })
     const share = QUOTA.perSecond / ROUTERS
-    expect((simulation.ran.length - first) * 50).to.be.at.most(share + 50)
+    expect((simulation.admitted.length - first) * 50).to.be.at.most(share + 50)
   })
 })
