--- a/packages/router/src/decide/decisionLog.ts
+++ b/packages/router/src/decide/decisionLog.ts
@@ -1,4 +1,7 @@
-/** Log of routing decisions: writes one log line each, and keeps recent ones in memory for `spoolgate explain`. */
+/**
+ * Log of routing decisions on the path through sidecars: writes one log line each, and keeps recent ones in memory for
+ * `spoolgate explain`.
+ */
 import type { BackendServerId, ConfigVersion, Logger, RequestId, TeamId } from '@spoolgate/core'
 import type { PolicyName } from '@spoolgate/config'
 
@@ -14,7 +17,7 @@
   readonly team: TeamId
   readonly policy: PolicyName
   readonly version: ConfigVersion
-  /** Model or group. */
+  /** Name of the model or server group. */
   readonly target: string
   readonly promptTokens: number
   readonly chosen: BackendServerId
@@ -48,7 +51,7 @@
 }
 
 /** Maximum number of requests kept: about 6 minutes at 13 requests per second, at about 1 kB each. */
-const MAX_REMEMBERED = 5_000
+const MAX_RECORDS = 5_000
 
 function formatCandidates(candidates: readonly ScoredCandidate[]): string {
   return candidates
@@ -64,16 +67,16 @@
     if (known) return known
     const added: RequestRecord = { request, steps: [] }
     records.set(request, added)
-    if (records.size > MAX_REMEMBERED) records.delete(records.keys().next().value as RequestId)
+    if (records.size > MAX_RECORDS) records.delete(records.keys().next().value as RequestId)
     return added
   }
   return {
     recordDecision: (request, decision) => {
       findOrAdd(request).steps.push({ decision })
       if (!logger.isEnabled('info')) return
-      const { candidates, ...facts } = decision
-      const weighed = formatCandidates(candidates)
-      logger.info('route.decided', { request, ...facts, candidates: weighed })
+      const { candidates, ...fields } = decision
+      const formattedCandidates = formatCandidates(candidates)
+      logger.info('route.decided', { request, ...fields, candidates: formattedCandidates })
     },
     recordAttempt: (request, attempt) => {
       findOrAdd(request).steps.push({ attempt })
--- a/packages/router/src/decide/serverSelector.ts
+++ b/packages/router/src/decide/serverSelector.ts
@@ -1,4 +1,4 @@
-/** Server selection: which backend servers the router tries, in which order, and why. */
+/** Server selection on the path through sidecars: which backend servers the router tries, in which order, and why. */
 import type { BackendServer, Fleet, PolicyName, TeamParameters } from '@spoolgate/config'
 import {
   INTERNAL_BODY_LIMITS,
@@ -51,7 +51,7 @@
   readonly team: TeamId
   readonly parameters: TeamParameters
   readonly fleet: Fleet
-  /** Model or group. */
+  /** Name of the model or server group. */
   readonly target: string
   readonly chain: PrefixChain
   /** Version of the weights that must answer; undefined for plain services. */
@@ -88,9 +88,10 @@
 const LOGGED_CANDIDATES = 4
 /** Levels of a hint table created for one decision; a table of the default size takes 20 ms to set up. */
 const EXACT_HINT_LEVELS = 64
-/** Estimation error that does not justify another hop, in ms. */
+/** Estimation error within which forwarding a request to another server is not worthwhile, in ms. */
 const ACCEPT_TOLERANCE_MS = 30
 const MIN_TAIL_WEIGHT = 0.1
+/** Steps into which the session hash is divided when sessions are assigned to the arms of an experiment. */
 const ARM_RESOLUTION = 10_000
 
 /**
@@ -110,7 +111,7 @@
 /** Creates a server selector. */
 export function createServerSelector(options: ServerSelectorOptions): ServerSelector {
   const { state, ejection, timers, random, client } = options
-  const probes = options.metrics.counter('probes', 'Probes sent before a choice')
+  const probeCounter = options.metrics.counter('probes', 'Probes sent before a choice')
 
   const findDistanceMs = (server: BackendServer) => {
     if (server.hall === options.hall && server.region === options.region) return SAME_HALL_MS
@@ -137,8 +138,8 @@
     }
     const isPreferred = (server: BackendServer) =>
       isUsable(server) && !ejected.has(server.id) && hasWeights(server)
-    // The router's knowledge may be outdated: if no server seems fit, an unfit one is tried rather than none, since
-    // its sidecar decides again.
+    // The router's knowledge may be outdated: if no server seems suitable, an unsuitable one is tried rather than none,
+    // since its sidecar decides again.
     return servers.some(isPreferred) ? isPreferred : isUsable
   }
   const rank = (
@@ -167,7 +168,7 @@
   }
   const probe = async (candidate: RankedCandidate, chain: PrefixChain) => {
     const { id, sidecarUrl } = candidate.server
-    probes.add(1)
+    probeCounter.add(1)
     try {
       const message = await client.send({
         method: 'POST',
@@ -187,9 +188,9 @@
     policy: PolicyName,
     count: number,
   ) => {
-    const first = rank(request, policy).slice(0, count)
-    await Promise.all(first.map((candidate) => probe(candidate, request.chain)))
-    const probed = new Set(first.map(({ server }) => server.id))
+    const toProbe = rank(request, policy).slice(0, count)
+    await Promise.all(toProbe.map((candidate) => probe(candidate, request.chain)))
+    const probed = new Set(toProbe.map(({ server }) => server.id))
     return rank(request, policy).filter(({ server }) => probed.has(server.id))
   }
   /** Ranks with the exact state from `findExactHints` instead of the remembered hints. */
--- a/packages/router/src/direct/attemptAdmission.ts
+++ b/packages/router/src/direct/attemptAdmission.ts
@@ -10,7 +10,7 @@
 /** Progress of a request across its attempts. */
 export interface RequestState extends SendHistory {
   readonly fingerprint: RequestFingerprint
-  /** Whether a server may have executed the request. */
+  /** Whether a server may have run the request. */
   readonly mayHaveRun: boolean
 }
 
@@ -20,7 +20,7 @@
   readonly candidate: Candidate
   /** Quarantine round in which the request is sent. */
   readonly round: number
-  /** Returns the quota and the quarantine slot; for attempts that no server executed. */
+  /** Refunds the quota and returns the quarantine trial; called after an attempt that no server ran. */
   readonly release: () => void
 }
 
@@ -32,23 +32,23 @@
 
 /** Admits the next attempt of a request, or returns the error to answer it with. */
 export async function admitAttempt(
-  parts: DirectContext,
+  context: DirectContext,
   plan: CallPlan,
   state: RequestState,
   log: (event: string, fields: Record<string, unknown>) => void,
 ): Promise<AdmittedAttempt | RefusedAttempt> {
-  // A request that may have been executed must not get an error that promises that it was not.
+  // A request that may have been run must not get an error that promises that it was not.
   const refuse = (error: SpoolgateError): RefusedAttempt => ({
     kind: 'refused',
     error: state.mayHaveRun ? createUnavailableError(true) : error,
   })
-  const quotaDecision = await takeQuota(parts, plan)
+  const quotaDecision = await takeQuota(context, plan)
   if (quotaDecision.refusal) {
     log('call.quotaReached', quotaDecision.refusal.fields)
-    parts.instruments.quotaRefusals.add(1, { team: plan.team?.id ?? '' })
+    context.instruments.quotaRefusals.add(1, { team: plan.team?.id ?? '' })
     return refuse(quotaDecision.refusal.error)
   }
-  const quarantineDecision = parts.quarantine.admit(state.fingerprint)
+  const quarantineDecision = context.quarantine.admit(state.fingerprint)
   if (quarantineDecision.kind === 'refused') {
     quotaDecision.refund()
     log('call.quarantined', { round: quarantineDecision.round, leftMs: quarantineDecision.leftMs })
@@ -58,7 +58,7 @@
     quotaDecision.refund()
     quarantineDecision.returnTrial()
   }
-  const choice = chooseServer(parts, plan, state, log)
+  const choice = chooseServer(context, plan, state, log)
   if (choice.kind === 'server') {
     return {
       kind: 'admitted',
--- a/packages/router/src/direct/attemptOutcome.ts
+++ b/packages/router/src/direct/attemptOutcome.ts
@@ -4,7 +4,7 @@
 import type { HeaderList, BackoffSignal } from './protocols.js'
 import type { CallOutcome } from './serverStats.js'
 
-/** The attempt was abandoned because its server seems to be dead; the request may have run. */
+/** The attempt was abandoned because its server or its connection seems to be dead; the request may have run. */
 export interface AbandonedOutcome {
   readonly kind: 'abandoned'
   readonly reason: string
@@ -36,7 +36,7 @@
   | { readonly kind: 'answered'; readonly status: number }
   /** The server received nothing: no connection was established. */
   | { readonly kind: 'notSent'; readonly reason: string }
-  /** The deadline has passed, the caller is gone, or the routing table is too old to trust; no byte was sent. */
+  /** No byte was sent: the deadline has passed, the caller has disconnected, or the routing table is too old. */
   | { readonly kind: 'forbidden'; readonly reason: string }
   /** It is unknown whether the request ran, or its stream broke off. */
   | { readonly kind: 'lost'; readonly reason: string }
--- a/packages/router/src/direct/callPlan.ts
+++ b/packages/router/src/direct/callPlan.ts
@@ -21,22 +21,23 @@
   readonly arrivedAt: number
   /** Monotonic time by which the request must have its final answer, in ms. */
   readonly deadline: number
+  /** Scheduling priority from team and route; 0 is the most urgent. */
   readonly priority: number
 }
 
 /** Retry-After while this router has no valid configuration, in seconds. */
 const RETRY_AFTER_UNAVAILABLE_S = 0.3
 
-function createUnavailableError(message: string): SpoolgateError {
+function createControlUnavailableError(message: string): SpoolgateError {
   return new SpoolgateError('controlUnavailable', message, {
     retryAfterSeconds: RETRY_AFTER_UNAVAILABLE_S,
   })
 }
 
-/** Lowest priority that engines support; 0 is the highest. */
+/** Largest priority number that engines support, the least urgent; 0 is the most urgent. */
 const MAX_PRIORITY = 9
-/** Route priorities that are distinguished within one team priority. */
-const ROUTE_RANKS = 3
+/** Number of route priorities that are distinguished within one team priority. */
+const ROUTE_PRIORITY_LEVELS = 3
 
 /** Whether the proof that the routing table is current is recent enough to trust its keys and routes. */
 export function isProofFresh(context: DirectContext): boolean {
@@ -59,21 +60,21 @@
  */
 export function resolvePriority(team: number | undefined, route: number): number {
   if (team === undefined) return Math.min(MAX_PRIORITY, route)
-  const withinTeam = Math.min(ROUTE_RANKS - 1, Math.max(0, route))
-  return Math.min(MAX_PRIORITY, Math.max(0, team) * ROUTE_RANKS + withinTeam)
+  const withinTeam = Math.min(ROUTE_PRIORITY_LEVELS - 1, Math.max(0, route))
+  return Math.min(MAX_PRIORITY, Math.max(0, team) * ROUTE_PRIORITY_LEVELS + withinTeam)
 }
 
 /**
- * Resolves the priority of a send from when its answer is expected to begin, in ms after the request arrived. A request
- * that misses its latency target in any case gets the lowest priority, so that those that can still meet theirs
- * go first; it is served until its deadline.
+ * Resolves the priority of a send. `firstPartMs` is the expected time from the arrival of the request to the first
+ * chunk of its response. A request that is expected to miss its latency target gets the least urgent priority, so that
+ * requests that can still meet theirs go first; it is served until its deadline.
  */
 export function resolveSendPriority(
   { route, priority }: Pick<CallPlan, 'route' | 'priority'>,
   firstPartMs: number,
 ): number {
-  const isLate = route.targetMs > 0 && firstPartMs > route.targetMs
-  return isLate ? MAX_PRIORITY : priority
+  const isPastTarget = route.targetMs > 0 && firstPartMs > route.targetMs
+  return isPastTarget ? MAX_PRIORITY : priority
 }
 
 /**
@@ -82,16 +83,16 @@
  */
 export function resolveCall(context: DirectContext, call: DirectCall, arrivedAt: number): CallPlan {
   const view = context.feed.current()
-  if (!view) throw createUnavailableError('no routing table yet; try again')
+  if (!view) throw createControlUnavailableError('no routing table yet; try again')
   if (!isProofFresh(context))
-    throw createUnavailableError('control is unreachable; try another instance')
+    throw createControlUnavailableError('control is unreachable; try another instance')
   const path = call.target.split('?', 1)[0]
   const route = view.index.findRoute(call.host, path)
   if (!route) throw new SpoolgateError('unknownPath', 'no route for this host and path')
   const team = findTeam(view, route, call)
   const groupName = chooseTarget(route, context.random)
   const group = view.index.findGroup(groupName)
-  if (!group) throw createUnavailableError(`group ${groupName} is not defined; try again`)
+  if (!group) throw createControlUnavailableError(`group ${groupName} is not defined; try again`)
   const waitMs = Math.min(call.waitMs ?? Infinity, route.timeoutMs)
   return {
     call,
--- a/packages/router/src/direct/crashDetector.ts
+++ b/packages/router/src/direct/crashDetector.ts
@@ -62,8 +62,8 @@
     check.unconfirmed = [...check.unconfirmed, ...sends]
     timers.after(RESTART_REPORT_MS).subscribe(() => {
       check.unconfirmed = check.unconfirmed.filter((send) => !sends.includes(send))
-      const isOver = check.unconfirmed.length + check.unchecked.length === 0 && !check.isChecking
-      if (isOver && checks.get(check.server.id) === check) checks.delete(check.server.id)
+      const isDone = check.unconfirmed.length + check.unchecked.length === 0 && !check.isChecking
+      if (isDone && checks.get(check.server.id) === check) checks.delete(check.server.id)
     })
   }
   /**
--- a/packages/router/src/direct/directContext.ts
+++ b/packages/router/src/direct/directContext.ts
@@ -65,6 +65,6 @@
   readonly rejectedInputs: Pick<RejectedInputs, 'record'>
   readonly instruments: DirectInstruments
   readonly shutdown: Pick<GracefulShutdown, 'findRefusal'>
-  /** Greatest age of the proof that the routing table is current at which its keys are still trusted, in ms. */
+  /** Maximum age of the proof that the routing table is current, in ms; beyond it, its keys are not trusted. */
   readonly maxProofAgeMs: number
 }
--- a/packages/router/src/direct/directRouter.ts
+++ b/packages/router/src/direct/directRouter.ts
@@ -64,7 +64,7 @@
   readonly backend: BackendProtocol
   readonly decodeTable: (document: string) => RoutingTable
   readonly retryBounds: RetryBounds
-  /** Maximum age of the proof that the routing table is the newest, in ms; older keys are not trusted. */
+  /** Maximum age of the proof that the routing table is current, in ms; beyond it, its keys are not trusted. */
   readonly maxProofAgeMs: number
   readonly logger: Logger
   readonly timers: TimerService
@@ -94,7 +94,7 @@
   close(drainMs: number): Promise<CloseReport>
 }
 
-/** Fraction of an engine's cache memory presumed to hold cached prompt parts while requests are running. */
+/** Fraction of an engine's cache memory presumed available for cached prompt parts beside running requests. */
 const CACHED_MEMORY_RATIO = 0.85
 /** Maximum size of the request headers, in bytes: twice what routing tables allow, which is checked later. */
 const MAX_HEADER_BYTES = 32_768
@@ -255,7 +255,7 @@
     () => backpressure.listBackingOff(timers.now()).length,
   )
   metrics.gauge('limited_servers', 'Backend servers that name a rate limit', limits.countLimited)
-  const parts: DirectContext = {
+  const context: DirectContext = {
     instance: options.instance,
     hall: options.hall,
     feed,
@@ -312,7 +312,7 @@
       call = caller.decodeCall(request)
       tracked.recordCall(call)
       if (!feed.current()) await waitForTable(call)
-      const plan = resolveCall(parts, call, arrivedAt)
+      const plan = resolveCall(context, call, arrivedAt)
       tracked.recordPlan(plan)
       const { maxBodyBytes } = plan.view.index.table.bounds
       const timeoutMs = Math.min(BODY_TIMEOUT_MS, shutdown.findBodyTimeoutMs())
@@ -321,7 +321,7 @@
       // Refuse only after the body has been read: closing a connection with unread bytes may lose the response.
       const refusal = shutdown.findRefusal(plan)
       if (refusal) throw refusal
-      await serveCall(parts, plan, body, response)
+      await serveCall(context, plan, body, response)
     } catch (cause) {
       const error = toSpoolgateError(cause)
       logger.info('call.refused', {
@@ -375,7 +375,7 @@
       shutdown.start(drainMs)
       await waitFor(timers, Math.min(READINESS_GRACE_MS, drainMs))
       // Timers run before sockets are read; a request that has arrived meanwhile must not count as idle.
-      await parts.turns.take()
+      await context.turns.take()
       server.close()
       server.closeIdleConnections()
       await shutdown.waitUntilIdle()
--- a/packages/router/src/direct/enginePartition.ts
+++ b/packages/router/src/direct/enginePartition.ts
@@ -1,7 +1,7 @@
 /**
  * Partitions the engines of a group between long and short prompts. Engines prefill prompts in chunks between the
  * tokens that they generate: beside long prompts, every generated token waits for a chunk of 70 ms. Engines are divided
- * in proportion to the work of both kinds; all routers arrive at the same partition without communication, since all
+ * in proportion to the work of both lengths; all routers arrive at the same partition without communication, since all
  * see the same mix of requests.
  */
 import type { BackendServerId, TimerService } from '@spoolgate/core'
@@ -13,7 +13,7 @@
 /** Partition of engines; see {@link createEnginePartition}. */
 export interface EnginePartition {
   /** Records the work of a request that is sent, in ms of engine time. */
-  recordWork(group: string, kind: PromptLength, workMs: number): void
+  recordWork(group: string, promptLength: PromptLength, workMs: number): void
   /** Lists the engines that should take long prompts; undefined if the group is not partitioned. */
   listLongPromptEngines(
     group: string,
@@ -21,13 +21,13 @@
   ): ReadonlySet<BackendServerId> | undefined
 }
 
-/** Least tokens of a long prompt: half a prefill chunk. */
+/** Minimum number of tokens of a long prompt: half a prefill chunk. */
 export const LONG_PROMPT_TOKENS = 2_000
-/** Time constant of the work averages, in ms; covers several requests of each kind at each router. */
+/** Time constant of the work averages, in ms; covers several requests of each length at each router. */
 const AVERAGING_TIME_MS = 10_000
-/** Least engines of a group that is partitioned. */
+/** Minimum number of engines in a group that is partitioned. */
 const MIN_ENGINES = 3
-/** Least requests of each kind for the averages to be meaningful. */
+/** Minimum number of requests of each length for the averages to be meaningful. */
 const MIN_REQUESTS = 5
 
 interface GroupWork {
@@ -52,20 +52,20 @@
     return work
   }
   return {
-    recordWork: (group, kind, workMs) => {
+    recordWork: (group, promptLength, workMs) => {
       const work = decayWork(group)
-      work[kind] += workMs
-      work[kind === 'long' ? 'longCount' : 'shortCount'] += 1
+      work[promptLength] += workMs
+      work[promptLength === 'long' ? 'longCount' : 'shortCount'] += 1
     },
     listLongPromptEngines: (group, servers) => {
       const { long, short, longCount, shortCount } = decayWork(group)
       const hasEnoughRequests = Math.min(longCount, shortCount) >= MIN_REQUESTS
       if (servers.length < MIN_ENGINES || !hasEnoughRequests) return undefined
       const share = long / (long + short)
-      const count = Math.round(share * servers.length)
-      const wanted = Math.min(servers.length - 1, Math.max(1, count))
+      const proportionalCount = Math.round(share * servers.length)
+      const longEngineCount = Math.min(servers.length - 1, Math.max(1, proportionalCount))
       const orderedByHash = [...servers].sort((a, b) => hashText(a) - hashText(b))
-      return new Set(orderedByHash.slice(0, wanted))
+      return new Set(orderedByHash.slice(0, longEngineCount))
     },
   }
 }
--- a/packages/router/src/direct/errorResponses.ts
+++ b/packages/router/src/direct/errorResponses.ts
@@ -1,7 +1,7 @@
 /** Error responses for requests that no backend server answered, and their Retry-After. */
 import { SpoolgateError, type RandomSource } from '@spoolgate/core'
 
-/** Lower bound on Retry-After, in s; also the Retry-After when every server refused. */
+/** Lower bound on Retry-After, in s; also the default when no end of the unavailability is known. */
 export const MIN_RETRY_AFTER_S = 0.15
 /** Upper bound on the Retry-After of a request that cannot be served before its deadline, in ms. */
 const MAX_RETRY_AFTER_MS = 1_000
@@ -34,7 +34,7 @@
   return new SpoolgateError('outcomeUnknown', message)
 }
 
-/** Creates the error response for a request that no server accepted. */
+/** Creates the error response for a request that no server accepts now; the outcome is unknown if it may have run. */
 export function createUnavailableError(
   mayHaveRun: boolean,
   retryAfterSeconds = MIN_RETRY_AFTER_S,
--- a/packages/router/src/direct/gracefulShutdown.ts
+++ b/packages/router/src/direct/gracefulShutdown.ts
@@ -45,7 +45,7 @@
   start(drainMs: number): void
   /** Waits until no request is in progress or `drainMs` has elapsed. */
   waitUntilIdle(): Promise<void>
-  /** Logs the requests that the caller is about to cut off, and returns their number. */
+  /** Logs the requests still in progress, which are about to be cut off, and returns their number. */
   reportCutOff(): number
 }
 
@@ -78,8 +78,8 @@
 /** Lists the figures behind a rejection during shutdown as log fields. */
 export function listRefusalFields({ kind, details }: SpoolgateError): LogFields {
   if (kind !== 'instanceStopping') return {}
-  const inputs = Object.entries(details as Record<string, number>)
-  return Object.fromEntries(inputs.map(([name, value]) => [name, Math.round(value)]))
+  const figures = Object.entries(details as Record<string, number>)
+  return Object.fromEntries(figures.map(([name, value]) => [name, Math.round(value)]))
 }
 
 /** Creates the graceful shutdown of a running router. */
--- a/packages/router/src/direct/livenessMonitor.ts
+++ b/packages/router/src/direct/livenessMonitor.ts
@@ -9,7 +9,7 @@
 /** A server to probe. */
 export interface ProbedServer {
   readonly id: BackendServerId
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string
 }
 
@@ -86,7 +86,7 @@
       pendingProbes.set(server.id, pending)
       return pending
     },
-    recordUnreachable: recordUnreachable,
+    recordUnreachable,
     close: () => closing.abort(),
   }
 }
--- a/packages/router/src/direct/prefixCacheIndex.ts
+++ b/packages/router/src/direct/prefixCacheIndex.ts
@@ -12,14 +12,14 @@
 export interface PrefixCacheIndex {
   /** Counts the leading prompt tokens that are cached at an engine or store, or will be after prefill. */
   countCachedTokens(
-    server: BackendServerId,
+    holder: BackendServerId,
     version: number,
     scope: string,
     parts: readonly PromptPart[],
   ): number
-  /** Records a prompt that another router sent to an engine. */
+  /** Records parts that another router sent to an engine or a store. */
   recordPlacement(placement: Placement): void
-  /** Records a prompt that this router sent, and queues it for the other routers. */
+  /** Records parts that this router sent to an engine or a store, and queues them for the other routers. */
   recordOwnPlacement(placement: Placement): void
   /** Records parts that an engine or store reports as cached or evicted. */
   confirmPlacement(placement: CachedPlacement): void
@@ -31,7 +31,10 @@
 const MAX_HOLDERS = 2_000
 /** Placements that are queued for the other routers; more than accumulate between two polls. */
 const MAX_PENDING_PLACEMENTS = 200
-/** Cache block size in tokens, 16 on all known engines: they cache whole blocks, so less than one may be missing. */
+/**
+ * Cache block size in tokens, 16 on all known engines. They cache only whole blocks, so up to 15 tokens at the end of a
+ * cached part may be missing.
+ */
 export const CACHE_BLOCK_TOKENS = 16
 
 interface CachedPart {
@@ -45,15 +48,15 @@
   readonly parts: LRUCache<number, CachedPart>
 }
 
-/** Builds the placement record of a prompt that is sent to an engine. */
+/** Builds the placement record of prompt parts that are sent to an engine or saved to a store. */
 export function buildPlacement(
-  server: BackendServerId,
+  holder: BackendServerId,
   version: number,
   scope: string,
   parts: readonly PromptPart[],
 ): Placement {
   return [
-    server,
+    holder,
     version,
     ...parts.flatMap(({ id, tokens }) => [hashPromptPart(scope, id), tokens]),
   ]
@@ -62,7 +65,7 @@
 /** Options of {@link createPrefixCacheIndex}. */
 export interface PrefixCacheIndexOptions {
   /** Finds the cache capacity of an engine or store beside running requests, in tokens. */
-  readonly findCacheTokens: (place: BackendServerId) => number
+  readonly findCacheTokens: (holder: BackendServerId) => number
 }
 
 /** Creates an empty index. */
@@ -70,22 +73,22 @@
   const caches = new LRUCache<BackendServerId, HolderCache>({ max: MAX_HOLDERS })
   let pendingPlacements: Placement[] = []
 
-  const openCache = (server: BackendServerId, version: number) => {
-    const known = caches.get(server)
+  const openCache = (holder: BackendServerId, version: number) => {
+    const known = caches.get(holder)
     // New weights invalidate the cache; late reports about older ones are ignored.
     if (known && known.version >= version) return known
-    const maxSize = Math.max(1, Math.floor(options.findCacheTokens(server)))
+    const maxSize = Math.max(1, Math.floor(options.findCacheTokens(holder)))
     const parts = new LRUCache<number, CachedPart>({
       maxSize,
       sizeCalculation: ({ tokens }) => Math.max(1, tokens),
     })
     const created = { version, parts }
-    caches.set(server, created)
+    caches.set(holder, created)
     return created
   }
   const applyPlacement = (placement: Placement, isConfirmed: boolean) => {
-    const [server, version, ...pairs] = placement
-    const cache = openCache(toBackendServerId(server), version)
+    const [holder, version, ...pairs] = placement
+    const cache = openCache(toBackendServerId(holder), version)
     if (cache.version !== version) return
     // Later parts depend on earlier ones, so the earlier ones are touched last and evicted last.
     for (let index = pairs.length - 2; index >= 0; index -= 2) {
@@ -98,8 +101,8 @@
     }
   }
   return {
-    countCachedTokens: (server, version, scope, parts) => {
-      const cache = caches.get(server)
+    countCachedTokens: (holder, version, scope, parts) => {
+      const cache = caches.get(holder)
       if (cache?.version !== version) return 0
       let matched = 0
       for (const { id, tokens } of parts) {
--- a/packages/router/src/direct/prefixLocations.ts
+++ b/packages/router/src/direct/prefixLocations.ts
@@ -35,21 +35,21 @@
 
 /** Known locations of the shared parts of a prompt. */
 export interface PrefixLocations {
-  /** Engines that should take long prompts; undefined where the group is not divided. */
+  /** Engines that should take long prompts; undefined if the group is not partitioned. */
   readonly longPromptEngines: ReadonlySet<BackendServerId> | undefined
   /** Engine that should prefill parts not known to be cached anywhere, by weights version. */
   findPreferredEngine(version: number): BackendServerId | undefined
-  /** Store to which the shared parts for a version should be saved; undefined where it has them or is down. */
+  /** Store to which the shared parts for a version should be saved; undefined if none is used or it has them. */
   findSaveTarget(version: number): StoreTarget | undefined
-  /** Most leading tokens that any engine or store is known to have cached for a version. */
+  /** Largest number of leading tokens that any engine or store is known to have cached for a version. */
   countCachedAnywhere(version: number): number
   /**
-   * Source for an engine that has `matchedTokens`. One is named even for an engine that seems to have everything, in
-   * case it has evicted some in the meantime.
+   * Source from which an engine with `matchedTokens` cached should fetch. One is returned even for an engine that seems
+   * to have everything, in case it has evicted some in the meantime.
    */
   findFetchPlan(
     version: number,
-    reader: RegisteredServer,
+    fetcher: RegisteredServer,
     matchedTokens: number,
   ): FetchPlan | undefined
 }
@@ -66,7 +66,7 @@
   readonly formatScope: (version: number) => string
   readonly serverStats: ServerStats
   readonly prefixCache: PrefixCacheIndex
-  /** Engines that should take long prompts; undefined where the group is not divided. */
+  /** Engines that should take long prompts; undefined if the group is not partitioned. */
   readonly longPromptEngines: ReadonlySet<BackendServerId> | undefined
 }
 
@@ -81,7 +81,7 @@
   readonly address: string
 }
 
-/** Least shared tokens for which a store is used; fewer are prefilled faster than fetched. */
+/** Minimum number of shared tokens for which a store is used; fewer are prefilled faster than fetched. */
 const MIN_STORED_TOKENS = 1_000
 /** Fixed latency of a fetch, in ms. */
 const FETCH_LATENCY_MS = 3
@@ -96,13 +96,13 @@
   readonly version: number
 }
 
-/** Finds the weights version that a server has for a model, from its registration and its answers. */
+/** Finds the weights version that a server has for a model, from its registration and its responses. */
 export function findVersion(
   server: RegisteredServer,
   model: string,
   serverStats: ServerStats,
 ): number | undefined {
-  const registered = server.weights.find((held) => held.model === model)?.version
+  const registered = server.weights.find((weights) => weights.model === model)?.version
   return registered === undefined
     ? undefined
     : Math.max(registered, serverStats.findVersion(server.id))
@@ -112,7 +112,7 @@
 function findByRendezvousHash<Location>(
   key: string,
   locations: readonly Location[],
-  formatName: (place: Location) => string,
+  formatName: (location: Location) => string,
 ): Location | undefined {
   const seed = hashText(key)
   let best: Location | undefined
@@ -143,14 +143,14 @@
 function estimateFetchMs(
   tokens: number,
   source: PrefixSource,
-  reader: RegisteredServer,
+  fetcher: RegisteredServer,
   engine: EngineCapacity | undefined,
 ): number {
   if (!engine || tokens <= 0) return 0
   const linkMbps = Math.min(engine.linkMbps, source.linkMbps)
   if (!(linkMbps > 0)) return FETCH_LATENCY_MS
-  const moveMs = (tokens * engine.tokenBytes * BITS_PER_BYTE) / (linkMbps * BITS_PER_MS)
-  return FETCH_LATENCY_MS + moveMs * (source.hall === reader.hall ? 1 : OTHER_HALL_FACTOR)
+  const transferMs = (tokens * engine.tokenBytes * BITS_PER_BYTE) / (linkMbps * BITS_PER_MS)
+  return FETCH_LATENCY_MS + transferMs * (source.hall === fetcher.hall ? 1 : OTHER_HALL_FACTOR)
 }
 
 /** Memoizes a value by weights version, since it is looked up for every engine that is ranked. */
@@ -187,8 +187,16 @@
     !longPromptEngines || longPromptEngines.has(server.id) === isLong
   const mayBePreferred = (engine: Engine) => isInPartition(engine) && input.isOpen(engine.server.id)
   const countMostCached = (version: number) =>
-    Math.max(0, ...holders.filter((held) => held.version === version).map((h) => h.matchedTokens))
-  /** Preferred engine for the shared parts up to the first one that no engine of the version is known to have. */
+    Math.max(
+      0,
+      ...holders
+        .filter((holder) => holder.version === version)
+        .map((holder) => holder.matchedTokens),
+    )
+  /**
+   * Finds the preferred engine for the shared parts up to and including the first that no engine with the version is
+   * known to have cached.
+   */
   const findPreferred = createVersionLookup((version) => {
     const best = countMostCached(version)
     let tokens = 0
@@ -200,31 +208,38 @@
       ({ server }) => server.id,
     )
   })
-  const isStored = sharedTokens >= MIN_STORED_TOKENS
-  const storeLife = isStored ? chooseStore(view.stores, shared) : undefined
+  const isWorthStoring = sharedTokens >= MIN_STORED_TOKENS
+  const reachableStore = isWorthStoring ? chooseStore(view.stores, shared) : undefined
   const store =
-    storeLife && view.index.table.stores.find(({ address }) => address === storeLife.address)
+    reachableStore &&
+    view.index.table.stores.find(({ address }) => address === reachableStore.address)
   const findStoreSource = createVersionLookup((version): PrefixSource | undefined => {
-    if (!storeLife || !store) return undefined
-    const id = toBackendServerId(formatStoreId(storeLife.address, storeLife.epoch, version))
+    if (!reachableStore || !store) return undefined
+    const id = toBackendServerId(
+      formatStoreId(reachableStore.address, reachableStore.epoch, version),
+    )
     const matchedTokens = prefixCache.countCachedTokens(id, version, formatScope(version), shared)
     const { address, hall, linkMbps } = store
     return { id, address, hall, version, matchedTokens, linkMbps }
   })
-  const listSources = (version: number, reader: BackendServerId | undefined): PrefixSource[] => {
-    const engineSources = holders.filter((held) => held.version === version && held.id !== reader)
-    const stored = findStoreSource(version)
-    return stored && stored.matchedTokens > 0 ? [...engineSources, stored] : engineSources
+  const listSources = (version: number, fetcher: BackendServerId | undefined): PrefixSource[] => {
+    const engineSources = holders.filter(
+      (holder) => holder.version === version && holder.id !== fetcher,
+    )
+    const storeSource = findStoreSource(version)
+    return storeSource && storeSource.matchedTokens > 0
+      ? [...engineSources, storeSource]
+      : engineSources
   }
   /** Of the sources with the most cached tokens, finds the one with the shortest transfer time. */
-  const findBestSource = (version: number, reader: RegisteredServer, matchedTokens: number) => {
-    const sources = listSources(version, reader.id)
+  const findBestSource = (version: number, fetcher: RegisteredServer, matchedTokens: number) => {
+    const sources = listSources(version, fetcher.id)
     const mostMatched = Math.max(0, ...sources.map((source) => source.matchedTokens))
     const plans = sources
       .filter((source) => source.matchedTokens > mostMatched - CACHE_BLOCK_TOKENS)
       .map((source): FetchPlan => {
         const foundTokens = Math.max(source.matchedTokens, matchedTokens)
-        const fetchMs = estimateFetchMs(foundTokens - matchedTokens, source, reader, engine)
+        const fetchMs = estimateFetchMs(foundTokens - matchedTokens, source, fetcher, engine)
         return { address: source.address, foundTokens, fetchMs }
       })
     return plans.sort((a, b) => a.fetchMs - b.fetchMs).at(0)
@@ -232,10 +247,10 @@
   return {
     longPromptEngines,
     findSaveTarget: (version) => {
-      const stored = findStoreSource(version)
-      if (!stored) return undefined
-      return stored.matchedTokens + CACHE_BLOCK_TOKENS * shared.length < sharedTokens
-        ? stored
+      const storeSource = findStoreSource(version)
+      if (!storeSource) return undefined
+      return storeSource.matchedTokens + CACHE_BLOCK_TOKENS * shared.length < sharedTokens
+        ? storeSource
         : undefined
     },
     findPreferredEngine: (version) =>
@@ -243,12 +258,12 @@
     countCachedAnywhere: createVersionLookup((version) =>
       Math.max(0, ...listSources(version, undefined).map((source) => source.matchedTokens)),
     ),
-    findFetchPlan: (version, reader, matchedTokens) => {
+    findFetchPlan: (version, fetcher, matchedTokens) => {
       if (shared.length === 0) return undefined
-      const best = findBestSource(version, reader, matchedTokens)
+      const best = findBestSource(version, fetcher, matchedTokens)
       if (best || matchedTokens > 0) return best
       const preferred = findPreferred(version)
-      if (!preferred || preferred.server.id === reader.id) return undefined
+      if (!preferred || preferred.server.id === fetcher.id) return undefined
       return { address: preferred.server.address, foundTokens: 0, fetchMs: FETCH_LATENCY_MS }
     },
   }
--- a/packages/router/src/direct/protocols.ts
+++ b/packages/router/src/direct/protocols.ts
@@ -84,24 +84,24 @@
   | { readonly kind: 'asked'; readonly ms: number }
   | { readonly kind: 'unreadable'; readonly text: string }
 
-/** Rate limit that a server states in an answer. */
+/** Rate limit that a server states in a response. */
 export type LimitSignal =
   /** Requests per second that the server accepts from all routers together. */
   | { readonly kind: 'named'; readonly perSecond: number }
   | { readonly kind: 'none' }
   | { readonly kind: 'unreadable'; readonly text: string }
 
-/** Signals in the head of a backend server's answer. */
+/** Signals in the head of a backend server's response. */
 export interface ResponseHead {
-  /** Whether the server guarantees that it did not execute the request. */
+  /** Whether the server guarantees that it did not run the request. */
   readonly isNotExecuted: boolean
-  /** Whether the answer provably comes from the server itself and belongs to this request. */
+  /** Whether the response provably comes from the server itself and belongs to this request. */
   readonly isAuthentic: boolean
-  /** Whether another incarnation of the server answered, or one with other weights. */
+  /** Whether another incarnation of the server responded, or one with other weights. */
   readonly isOtherServer: boolean
   /** Undefined if the server requests no backoff. */
   readonly backoff: BackoffSignal | undefined
-  /** Undefined if the answer says nothing about a limit. */
+  /** Undefined if the response says nothing about a limit. */
   readonly limit: LimitSignal | undefined
   /** Whether the server announces that it is shutting down. */
   readonly isLeaving: boolean
@@ -112,9 +112,9 @@
 /** Protocol between the router and backend servers. */
 export interface BackendProtocol {
   /** Encodes the header fields of a request. */
-  encodeHeaders(send: BackendRequest): HeaderList
-  /** Decodes the head of an answer. */
+  encodeHeaders(request: BackendRequest): HeaderList
+  /** Decodes the head of a response. */
   decodeHead(message: IncomingMessage, call: DirectCall): ResponseHead
-  /** Lists the header fields of an answer that are forwarded to the caller. */
+  /** Lists the header fields of a response that are forwarded to the caller. */
   listAnswerHeaders(message: IncomingMessage): HeaderList
 }
--- a/packages/router/src/direct/requestFingerprint.ts
+++ b/packages/router/src/direct/requestFingerprint.ts
@@ -1,6 +1,7 @@
 /**
  * Request fingerprints: a hash of the caller, path and body, which stays the same when a caller retries the request
- * under another id. All fingerprints of one caller share a prefix, so that stored fingerprints can be limited per caller.
+ * under another ID. All fingerprints of one caller share a prefix, so that stored fingerprints can be limited per
+ * caller.
  */
 import { createHash } from 'node:crypto'
 import { toRequestFingerprint, type RequestFingerprint } from '@spoolgate/core'
--- a/packages/router/src/direct/requestQuarantine.ts
+++ b/packages/router/src/direct/requestQuarantine.ts
@@ -1,5 +1,5 @@
 /**
- * Rejects requests that crash backend servers and that control has quarantined, and reports their outcomes to
+ * Refuses requests that crash backend servers and that control has quarantined, and reports their outcomes to
  * control: a single such request, retried by its caller, can take down a whole service.
  */
 import {
@@ -60,8 +60,8 @@
 /** Time that an unused trial stays valid, in ms; after that control may grant it to another router. */
 const TRIAL_TIMEOUT_MS = 2_000
 /**
- * Lower bound on the Retry-After of a quarantined request, in ms. It may exceed the quarantine because a harmless
- * request is tried with the sends of other callers.
+ * Lower bound on the Retry-After of a quarantined request, in ms. It may exceed the quarantine, because the trial
+ * that clears a harmless request can use a send by any caller.
  */
 const MIN_RETRY_AFTER_MS = 60_000
 
@@ -125,11 +125,11 @@
       rounds = updatedRounds
     },
     grantTrial: (request) => {
-      const granted: Trial = { request, isUsed: false }
-      trial = granted
+      const grantedTrial: Trial = { request, isUsed: false }
+      trial = grantedTrial
       timers.after(TRIAL_TIMEOUT_MS).subscribe(() => {
-        if (!granted.isUsed) crashReports.addUnusedTrial(request)
-        if (trial === granted) trial = undefined
+        if (!grantedTrial.isUsed) crashReports.addUnusedTrial(request)
+        if (trial === grantedTrial) trial = undefined
       })
       logger.info('request.mayBeTried', { fingerprint: request, round: rounds.get(request) })
     },
--- a/packages/router/src/direct/requestTimings.ts
+++ b/packages/router/src/direct/requestTimings.ts
@@ -5,10 +5,10 @@
 /** See {@link createRequestTimings}. */
 export interface RequestTimings {
   /** Records the start of an attempt and the number of prompt tokens that its server has to prefill. */
-  recordAttempt(unreadTokens: number): void
+  recordAttempt(uncachedTokens: number): void
   /** Records the first chunk of the response; later calls have no effect. */
   recordFirstPart(): void
-  /** Records a complete response; has an effect only for plain services. */
+  /** Records that the response is complete; has an effect only for plain services. */
   recordPlainResponse(): void
   /** Time from the arrival of the request to the first chunk, in ms; undefined before the first chunk. */
   firstPartMs(): number | undefined
@@ -23,18 +23,18 @@
   }: Pick<DirectContext, 'timers' | 'serviceTimes' | 'instruments'>,
   { call, group, arrivedAt }: CallPlan,
 ): RequestTimings {
-  let lastAttempt: { readonly at: number; readonly unreadTokens: number } | undefined
+  let lastAttempt: { readonly at: number; readonly uncachedTokens: number } | undefined
   let firstPartMs: number | undefined
 
   const recordDuration = () => {
     if (!lastAttempt) return
     const durationMs = timers.now() - lastAttempt.at
-    if (call.prompt) serviceTimes.recordPrefill(group.name, lastAttempt.unreadTokens, durationMs)
+    if (call.prompt) serviceTimes.recordPrefill(group.name, lastAttempt.uncachedTokens, durationMs)
     else serviceTimes.recordPlainRequest(group.name, durationMs)
   }
   return {
-    recordAttempt: (unreadTokens) => {
-      lastAttempt = { at: timers.now(), unreadTokens }
+    recordAttempt: (uncachedTokens) => {
+      lastAttempt = { at: timers.now(), uncachedTokens }
     },
     recordFirstPart: () => {
       if (firstPartMs !== undefined) return
--- a/packages/router/src/direct/responseHead.ts
+++ b/packages/router/src/direct/responseHead.ts
@@ -14,14 +14,14 @@
 
 /** Checks a response head; returns undefined if the response is the server's own and may be forwarded. */
 export function checkResponseHead(
-  parts: DirectContext,
+  context: DirectContext,
   { call }: CallPlan,
   { server }: Candidate,
   { message, sentAt }: ReceivedResponse,
 ): AttemptOutcome | undefined {
-  const { backend, serverStats } = parts
+  const { backend, serverStats } = context
   const head = backend.decodeHead(message, call)
-  recordResponseSignals(parts, call, server, { ...head, sentAt })
+  recordResponseSignals(context, call, server, { ...head, sentAt })
   if (head.weightsVersion !== undefined) serverStats.recordVersion(server.id, head.weightsVersion)
   if (head.isNotExecuted) {
     message.resume()
--- a/packages/router/src/direct/responseHeadWait.ts
+++ b/packages/router/src/direct/responseHeadWait.ts
@@ -37,8 +37,8 @@
 ): Promise<AttemptResult | AbandonedOutcome> {
   const { send, timers, isUnanswered } = options
   let result: AttemptResult | undefined
-  const settled = send.result.then((found) => {
-    result = found
+  const settled = send.result.then((attemptResult) => {
+    result = attemptResult
   })
   while (!result) {
     const timeout = firstValueFrom(timers.after(LIVENESS_CHECK_DELAY_MS))
--- a/packages/router/src/direct/responseRelay.ts
+++ b/packages/router/src/direct/responseRelay.ts
@@ -72,7 +72,7 @@
 export interface StreamRelay {
   /** Whether the response head has been sent to the caller. */
   hasBegun(): boolean
-  /** Id of the last complete event that was forwarded; undefined before the first. */
+  /** ID of the last complete event that was forwarded; undefined before the first. */
   lastEventId(): string | undefined
   /** Forwards the events of one backend response until it ends or breaks off. */
   relay(message: IncomingMessage, headers: HeaderList): Promise<BodyResult>
@@ -107,9 +107,9 @@
     response.once('drain', () => message.resume())
   }
   const takeForwardable = (eventBuffer: SseEventBuffer, chunk: Buffer) => {
-    const whole = eventBuffer.add(chunk)
+    const completeEvents = eventBuffer.add(chunk)
     lastId = eventBuffer.lastEventId() ?? lastId
-    return isResumable ? whole : chunk
+    return isResumable ? completeEvents : chunk
   }
   return {
     hasBegun: () => hasBegun,
--- a/packages/router/src/direct/responseSignals.ts
+++ b/packages/router/src/direct/responseSignals.ts
@@ -1,4 +1,4 @@
-/** Handles the signals in the head of a backend server's answer: requested backoff, rate limit and shutdown. */
+/** Handles the signals in the head of a backend server's response: requested backoff, rate limit and shutdown. */
 import { MAX_BACKOFF_MS } from '@spoolgate/routing'
 import type { RegisteredServer, ServerLoad, ServerLoads } from '@spoolgate/control'
 import type { BackendServerId } from '@spoolgate/core'
@@ -10,7 +10,7 @@
   'backpressure' | 'limits' | 'rejectedInputs' | 'logger' | 'timers'
 >
 
-/** The head of an answer, with the time at which its request was sent, in ms. */
+/** The head of a response, with the time at which its request was sent, in ms. */
 type ResponseSignals = ResponseHead & { readonly sentAt: number }
 
 const NO_LOAD: ServerLoad = { calls: 0, promptTokens: 0 }
@@ -65,7 +65,7 @@
   return reported
 }
 
-/** Records the signals in the head of an answer before the next server is chosen. */
+/** Records the signals in the head of a response before the next server is chosen. */
 export function recordResponseSignals(
   context: SignalContext,
   call: DirectCall,
--- a/packages/router/src/direct/restartDetector.ts
+++ b/packages/router/src/direct/restartDetector.ts
@@ -43,9 +43,9 @@
 }
 
 /**
- * Time without data after which a call to a restarted server is presumed lost with the previous incarnation, in ms: more
- * than the pauses allowed within streams, 400 to 500 ms in production. Calls are not given up immediately because the
- * router learns of a restart only from control, and the call may already run on the new incarnation.
+ * Time without data after which a call to a restarted server is presumed lost with the previous incarnation, in ms:
+ * more than the pauses allowed within streams, 400 to 500 ms in production. Calls are not abandoned immediately because
+ * the router learns of a restart only from control, and the call may already run on the new incarnation.
  */
 const STALL_TIMEOUT_MS = 1_000
 
@@ -86,12 +86,12 @@
     restarted.next(before.id)
   }
   const detectRestarts = ({ servers }: Pick<FleetView, 'servers'>) => {
-    const next = new Map([...servers.values()].map((server) => [server.name, server]))
-    for (const [name, server] of next) {
+    const currentServers = new Map([...servers.values()].map((server) => [server.name, server]))
+    for (const [name, server] of currentServers) {
       const before = knownServers.get(name)
       if (before && before.id !== server.id) recordRestart(before, server)
     }
-    knownServers = next
+    knownServers = currentServers
   }
   const subscription = options.views.subscribe(detectRestarts)
   return {
--- a/packages/router/src/direct/retryBudget.ts
+++ b/packages/router/src/direct/retryBudget.ts
@@ -18,7 +18,7 @@
 export interface RetryBudgetOptions {
   readonly timers: TimerService
   readonly bounds: RetryBounds
-  /** Routers that share the budget. */
+  /** Counts the routers that share the budget. */
   readonly countRouters: () => number
 }
 
@@ -26,11 +26,11 @@
 export interface RetryBudget {
   /** Records the first send of a request to a group. */
   recordFirstSend(group: string): void
-  /** Consumes one retry; false if the share is used up. */
+  /** Takes one retry from the share; returns false if it is used up. */
   takeRetry(group: string): boolean
 }
 
-/** Ratio of the share that is used; the rest is a margin for what routers do not know of each other. */
+/** Fraction of its share that a router uses; the rest is a margin for what routers do not know of each other. */
 const USABLE_RATIO = 0.7
 
 interface SendTimes {
@@ -38,7 +38,7 @@
   retries: number[]
 }
 
-/** Creates an unused share. */
+/** Creates a router's share of the budget, of which nothing has been used. */
 export function createRetryBudget(options: RetryBudgetOptions): RetryBudget {
   const { timers, bounds } = options
   const groups = new Map<string, SendTimes>()
@@ -57,11 +57,11 @@
       else findSendTimes(group).firstSends.push(timers.now())
     },
     takeRetry: (group) => {
-      const { firstSends: firsts, retries: repeats } = findSendTimes(group)
+      const { firstSends, retries } = findSendTimes(group)
       const slack = bounds.slack / Math.max(1, options.countRouters())
-      const allowed = USABLE_RATIO * (bounds.ratio * firsts.length + slack)
-      if (repeats.length + 1 > allowed) return false
-      repeats.push(timers.now())
+      const allowed = USABLE_RATIO * (bounds.ratio * firstSends.length + slack)
+      if (retries.length + 1 > allowed) return false
+      retries.push(timers.now())
       return true
     },
   }
--- a/packages/router/src/direct/sendRecord.ts
+++ b/packages/router/src/direct/sendRecord.ts
@@ -44,16 +44,20 @@
 }
 
 /** Records the work that a prompt causes on its engine, and where its parts will be cached. */
-export function recordSentPrompt(parts: DirectContext, plan: CallPlan, candidate: Candidate): void {
+export function recordSentPrompt(
+  context: DirectContext,
+  plan: CallPlan,
+  candidate: Candidate,
+): void {
   const { prompt } = plan.call
   const { server, version, saveTo, matchedTokens } = candidate
   if (!prompt || version === undefined) return
-  parts.instruments.promptTokens.add(prompt.promptTokens)
-  parts.instruments.matchedTokens.add(matchedTokens)
-  recordEngineWork(parts, plan.group.name, prompt, matchedTokens)
+  context.instruments.promptTokens.add(prompt.promptTokens)
+  context.instruments.matchedTokens.add(matchedTokens)
+  recordEngineWork(context, plan.group.name, prompt, matchedTokens)
   const scope = formatCallScope(plan.team, version)
-  parts.prefixCache.recordOwnPlacement(buildPlacement(server.id, version, scope, prompt.parts))
+  context.prefixCache.recordOwnPlacement(buildPlacement(server.id, version, scope, prompt.parts))
   if (!saveTo) return
   const shared = prompt.parts.slice(0, -1)
-  parts.prefixCache.recordOwnPlacement(buildPlacement(saveTo.id, version, scope, shared))
+  context.prefixCache.recordOwnPlacement(buildPlacement(saveTo.id, version, scope, shared))
 }
--- a/packages/router/src/direct/serveCall.ts
+++ b/packages/router/src/direct/serveCall.ts
@@ -46,12 +46,12 @@
 
 /** Serves one planned request; resolves once its final response has been sent. */
 export async function serveCall(
-  parts: DirectContext,
+  context: DirectContext,
   plan: CallPlan,
   body: Buffer,
   response: ServerResponse,
 ): Promise<void> {
-  const servedCall = new ServedCall(parts, plan, body, response)
+  const servedCall = new ServedCall(context, plan, body, response)
   await servedCall.run()
 }
 
@@ -77,12 +77,12 @@
   private recordConnectionLoss: () => void = () => {}
 
   constructor(
-    private readonly parts: DirectContext,
+    private readonly context: DirectContext,
     private readonly plan: CallPlan,
     private readonly body: Buffer,
     private readonly response: ServerResponse,
   ) {
-    this.timings = createRequestTimings(parts, plan)
+    this.timings = createRequestTimings(context, plan)
     this.fingerprint = hashRequest(plan, body)
     this.relay = createStreamRelay({
       response,
@@ -92,18 +92,18 @@
   }
 
   async run(): Promise<void> {
-    const { parts, plan, response } = this
-    const leftMs = Math.max(0, plan.deadline - parts.timers.now())
+    const { context, plan, response } = this
+    const leftMs = Math.max(0, plan.deadline - context.timers.now())
     const finished = new Promise<void>((resolve) => {
       this.resolveFinished = resolve
     })
     response.once('close', () => {
       if (!response.writableFinished) this.finish('callerLeft')
     })
-    this.timeout = parts.timers.after(leftMs).subscribe(() => this.handleDeadline())
+    this.timeout = context.timers.after(leftMs).subscribe(() => this.handleDeadline())
     const work = this.runAttempts().catch((cause) => {
       const reason = cause instanceof Error ? cause.message : String(cause)
-      parts.logger.error('call.internalError', { request: plan.call.id, reason })
+      context.logger.error('call.internalError', { request: plan.call.id, reason })
       this.finishWithError(
         createOutcomeUnknownError('internal error; report it with the request id'),
       )
@@ -115,7 +115,7 @@
   private recordChunk(): void {
     this.trackedCall?.recordFirstChunk()
     this.trackedCall?.recordActivity()
-    this.lastChunkAt = this.parts.timers.now()
+    this.lastChunkAt = this.context.timers.now()
     this.timings.recordFirstPart()
   }
 
@@ -130,22 +130,22 @@
   }
 
   private log(event: string, fields: Record<string, unknown>): void {
-    const { plan, parts } = this
-    parts.logger.info(event, {
+    const { plan, context } = this
+    context.logger.info(event, {
       request: plan.call.id,
       fingerprint: this.fingerprint,
       route: plan.route.name,
       tableVersion: plan.view.index.table.version,
-      proofAgeMs: Math.round(parts.feed.proofAgeMs()),
+      proofAgeMs: Math.round(context.feed.proofAgeMs()),
       sends: this.sends,
-      ms: Math.round(parts.timers.now() - plan.arrivedAt),
+      ms: Math.round(context.timers.now() - plan.arrivedAt),
       ...fields,
     })
   }
 
   private handleDeadline(): void {
     if (this.isFinished) return
-    // The crash detector tells a crashed server from a slow one: a slow one still accepts connections.
+    // The crash detector distinguishes a crashed server from a slow one, which still accepts connections.
     if (this.trackedCall?.hasNoServerActivity()) this.recordConnectionLoss()
     if (this.relay.hasBegun()) {
       this.finish('timedOutInStream')
@@ -158,22 +158,22 @@
   /** Completes the request with an error response, or cuts the stream off if it has started. */
   private finishWithError(error: SpoolgateError): void {
     if (this.isFinished) return
-    this.parts.instruments.refusals.add(1, { kind: error.kind })
+    this.context.instruments.refusals.add(1, { kind: error.kind })
     this.finish(error.kind)
     if (this.relay.hasBegun()) this.response.destroy()
-    else this.parts.caller.sendRefusal(this.response, this.plan.call, error)
+    else this.context.caller.sendRefusal(this.response, this.plan.call, error)
   }
 
   private async runAttempts(): Promise<void> {
     while (!this.isFinished) {
       // A busy router may read a request and the close of its caller's connection in the same turn of the event loop.
       // Polling the sockets once more before each attempt keeps requests without a caller off the backend servers.
-      await this.parts.turns.take()
+      await this.context.turns.take()
       if (isCallerDisconnected(this.response)) this.finish('callerLeft')
       if (this.isFinished) return
       const refusal = this.findShutdownRefusal()
       if (refusal) return this.finishWithError(refusal)
-      const admission = await admitAttempt(this.parts, this.plan, this, (event, fields) =>
+      const admission = await admitAttempt(this.context, this.plan, this, (event, fields) =>
         this.log(event, fields),
       )
       if (admission.kind === 'refused') return this.finishWithError(admission.error)
@@ -187,7 +187,7 @@
 
   /** Runs an admitted attempt and records its outcome for the quarantine. */
   private async runAdmittedAttempt({ candidate, round }: AdmittedAttempt): Promise<AttemptOutcome> {
-    const { quarantine, crashDetector } = this.parts
+    const { quarantine, crashDetector } = this.context
     const { server } = candidate
     this.recordConnectionLoss = () =>
       crashDetector.recordInterrupted(server, { request: this.fingerprint, round })
@@ -201,56 +201,60 @@
 
   /**
    * Returns the error for a request that must not be retried because this router is shutting down. A request that
-   * servers refused can still be sent through another router, which will see it through; one that may have run goes on
-   * here. The first attempt was checked before.
+   * no server ran can still be sent through another router, which has time to complete it; one that may have run stays
+   * with this router. The first attempt was checked before.
    */
   private findShutdownRefusal(): SpoolgateError | undefined {
     if (this.sends === 0 || this.mayHaveRun) return undefined
-    const refusal = this.parts.shutdown.findRefusal(this.plan)
+    const refusal = this.context.shutdown.findRefusal(this.plan)
     if (refusal) this.log('call.notSentAgain', listRefusalFields(refusal))
     return refusal
   }
 
+  /**
+   * Builds the headers immediately before the request is written, and records that it may have run from then on.
+   * Returns undefined if the request must not be sent.
+   */
   private buildHeaders(candidate: Candidate): HeaderList | undefined {
-    const { parts, plan } = this
-    const leftMs = Math.floor(plan.deadline - parts.timers.now())
+    const { context, plan } = this
+    const leftMs = Math.floor(plan.deadline - context.timers.now())
     if (leftMs <= 0 || this.isFinished || isCallerDisconnected(this.response)) return undefined
-    if (plan.team && !isProofFresh(parts)) return undefined
+    if (plan.team && !isProofFresh(context)) return undefined
     this.sentTo.add(candidate.server.id)
     this.mayHaveRun = true
-    return parts.backend.encodeHeaders({
+    return context.backend.encodeHeaders({
       ...buildSendFields(plan, candidate),
       bodyBytes: this.body.length,
       leftMs,
-      priority: this.rankAttempt(candidate),
+      priority: this.resolveAttemptPriority(candidate),
       lastEventId: this.relay.lastEventId() ?? plan.call.lastEventId,
     })
   }
 
-  private rankAttempt({ expectedMs }: Candidate): number {
-    const { plan, parts, relay } = this
+  private resolveAttemptPriority({ expectedMs }: Candidate): number {
+    const { plan, context, relay } = this
     if (relay.hasBegun()) return plan.priority
-    return resolveSendPriority(plan, parts.timers.now() - plan.arrivedAt + expectedMs)
+    return resolveSendPriority(plan, context.timers.now() - plan.arrivedAt + expectedMs)
   }
 
   private recordAttempt(candidate: Candidate): void {
-    const { parts, plan } = this
-    const { server, uncachedTokens: unreadTokens } = candidate
-    this.trackedCall = parts.serverStats.startCall(server.id, unreadTokens)
-    this.sentAt = parts.timers.now()
-    parts.backpressure.recordSend(server.id, this.sentAt)
-    parts.limits.recordSend(server.id, this.sentAt)
-    this.timings.recordAttempt(unreadTokens)
-    if (this.sends === 0) parts.retryBudget.recordFirstSend(plan.group.name)
+    const { context, plan } = this
+    const { server, uncachedTokens } = candidate
+    this.trackedCall = context.serverStats.startCall(server.id, uncachedTokens)
+    this.sentAt = context.timers.now()
+    context.backpressure.recordSend(server.id, this.sentAt)
+    context.limits.recordSend(server.id, this.sentAt)
+    this.timings.recordAttempt(uncachedTokens)
+    if (this.sends === 0) context.retryBudget.recordFirstSend(plan.group.name)
     this.sends += 1
-    parts.instruments.sends.add(1, { group: plan.group.name })
-    recordSentPrompt(parts, plan, candidate)
+    context.instruments.sends.add(1, { group: plan.group.name })
+    recordSentPrompt(context, plan, candidate)
   }
 
   private async sendWithStallWatch(candidate: Candidate): Promise<AttemptOutcome> {
     const stallWatch = watchStall({
-      restarts: this.parts.restartDetector,
-      timers: this.parts.timers,
+      restarts: this.context.restartDetector,
+      timers: this.context.timers,
       server: candidate.server.id,
       lastDataAt: () => this.lastChunkAt,
       onRestart: () => {
@@ -269,12 +273,12 @@
   }
 
   private async sendToServer(candidate: Candidate): Promise<AttemptOutcome> {
-    const { parts, plan } = this
+    const { context, plan } = this
     this.recordAttempt(candidate)
     const previousMayHaveRun = this.mayHaveRun
-    const send = startAttempt({
-      agent: parts.agent,
-      timers: parts.timers,
+    const attempt = startAttempt({
+      agent: context.agent,
+      timers: context.timers,
       address: candidate.server.address,
       method: plan.call.method,
       target: plan.call.target,
@@ -282,13 +286,13 @@
       body: this.body,
       connectMs: CONNECT_TIMEOUT_MS,
     })
-    this.currentAttempt = send
+    this.currentAttempt = attempt
     const result = await waitForResponseHead({
-      send,
+      send: attempt,
       server: candidate.server,
-      timers: parts.timers,
-      liveness: parts.liveness,
-      agent: parts.agent,
+      timers: context.timers,
+      liveness: context.liveness,
+      agent: context.agent,
       mayBePrefilling: plan.call.prompt !== undefined,
       isUnanswered: () => !this.isFinished && this.trackedCall?.hasNoServerActivity() === true,
       takeRetry: () => this.takeRetry(),
@@ -298,14 +302,14 @@
     if (result.kind !== 'head') return result
     const { message } = result
     this.trackedCall?.recordActivity()
-    const outcome = checkResponseHead(parts, plan, candidate, { message, sentAt: this.sentAt })
+    const outcome = checkResponseHead(context, plan, candidate, { message, sentAt: this.sentAt })
     if (outcome?.kind === 'notRun') this.mayHaveRun = previousMayHaveRun
     return outcome ?? this.relayToCaller(message)
   }
 
   private relayToCaller(message: IncomingMessage): Promise<AttemptOutcome> {
     const { response, relay } = this
-    const headers = this.parts.backend.listAnswerHeaders(message)
+    const headers = this.context.backend.listAnswerHeaders(message)
     return relayResponse({ message, headers, response, relay, isFinished: () => this.isFinished })
   }
 
@@ -323,7 +327,7 @@
         this.finish('answered')
         return true
       case 'notSent':
-        this.parts.liveness.recordUnreachable(candidate.server)
+        this.context.liveness.recordUnreachable(candidate.server)
         this.excluded.add(candidate.server.id)
         return false
       case 'abandoned':
@@ -346,9 +350,9 @@
     // A server that refused only because its weights are newer than presumed will accept the new version.
     const hasNewerVersion = (outcome.version ?? 0) > (version ?? Infinity)
     if (!hasNewerVersion) this.excluded.add(server.id)
-    if (this.parts.retryBudget.takeRetry(this.plan.group.name)) return false
+    if (this.context.retryBudget.takeRetry(this.plan.group.name)) return false
     this.finishWithError(
-      createUnavailableError(this.mayHaveRun, findGroupRetryAfterSeconds(this.parts, this.plan)),
+      createUnavailableError(this.mayHaveRun, findGroupRetryAfterSeconds(this.context, this.plan)),
     )
     return true
   }
@@ -385,6 +389,6 @@
     const { route, group } = this.plan
     if (!this.isRetryable()) return false
     if (this.sentTo.size >= route.maxServers) return false
-    return this.parts.retryBudget.takeRetry(group.name)
+    return this.context.retryBudget.takeRetry(group.name)
   }
 }
--- a/packages/router/src/direct/serverAvailability.ts
+++ b/packages/router/src/direct/serverAvailability.ts
@@ -3,7 +3,7 @@
 import type { Backpressure, SendVerdict } from '@spoolgate/routing'
 import type { LimitVerdict, ServerLimits } from '../limits/serverLimits.js'
 
-/** Parts that decide whether a server may be sent a request. */
+/** State that decides whether a server may be sent a request. */
 export interface AvailabilityParts {
   readonly backpressure: Pick<Backpressure, 'judgeSend'>
   readonly limits: Pick<ServerLimits, 'judgeSend' | 'isLimited' | 'isProbeDue'>
--- a/packages/router/src/direct/serverRanking.ts
+++ b/packages/router/src/direct/serverRanking.ts
@@ -42,7 +42,7 @@
 /** A ranked server, with the estimates behind its rank. */
 export interface Candidate {
   readonly server: RegisteredServer
-  /** Expected time to the first part of the answer, or to the whole answer of a plain service, in ms. */
+  /** Expected time to the first chunk of the response, or to the whole response of a plain service, in ms. */
   readonly expectedMs: number
   /** Expected time plus penalties, in ms; candidates are ranked by it. */
   readonly cost: number
@@ -73,12 +73,12 @@
 const RUNNING_REQUEST_MS = 0.4
 /**
  * Cost of a prefill to each request that runs beside it, as a ratio of the prefill time. It steers long prompts to
- * engines that are generating few answers.
+ * engines that are generating few responses.
  */
 const PREFILL_INTERFERENCE_RATIO = 0.1
 /** Cost of a server in another data hall, in ms: the round trip and the cost of the traffic. */
 const OTHER_HALL_MS = 30
-/** Cost of serving with outdated weights, in ms: a fifth of the value of an answer. */
+/** Cost of serving with outdated weights, in ms: a fifth of the value of a response. */
 const OUTDATED_WEIGHTS_MS = 100
 /** Time after a new weights version is wanted until older ones count as outdated, in ms; the requirement is 1.5 s. */
 const OUTDATED_AFTER_MS = 1_300
@@ -90,7 +90,7 @@
  */
 const SHEDDING_MS = 1_000
 /**
- * Least extra cost of an idle server while others of its group shed load, in ms: a server with calls in flight is
+ * Minimum extra cost of an idle server while others of its group shed load, in ms: a server with calls in flight is
  * known to accept work. Up to twice that is drawn at random, so that routers do not all try the same one.
  */
 const IDLE_WHILE_SHEDDING_MS = 100
@@ -98,7 +98,7 @@
 const UNREACHABLE_MS = 10_000
 /** Cost of a server that fails every request, in ms; scaled by its failure rate. */
 const FAILING_MS = 400
-/** Cost of a long prompt at an engine for short ones, in ms: its prefill delays the answers being generated. */
+/** Cost of a long prompt at an engine for short ones, in ms: its prefill delays the responses being generated. */
 const LONG_AMONG_SHORT_MS = 300
 /** Cost of a short prompt at an engine for long ones, in ms: each generated token waits for prefill chunks. */
 const SHORT_AMONG_LONG_MS = 120
@@ -108,7 +108,7 @@
 const MISSED_HEARTBEATS_MS = 400
 /**
  * Cost of recomputing each shared token that is cached elsewhere, on top of the prefill time, in ms: recomputing
- * 6,000 of them costs as much as a late answer.
+ * 6,000 of them costs as much as a late response.
  */
 const RECOMPUTE_MS_PER_TOKEN = 0.03
 /**
@@ -116,14 +116,14 @@
  * them: if another engine computed them, the next router would have them computed again.
  */
 const PREFERRED_BONUS_MS = 15
-/** Ratio of the servers that are sampled for one request, and their least number. */
+/** Fraction of the servers that are sampled for one request, and their minimum number. */
 const SAMPLED_RATIO = 0.34
 const MIN_SAMPLED = 2
 
-/** Cached ratio of the shared prompt from which a server is considered in addition to the sample. */
+/** Fraction of the shared tokens that a server must have cached to be selected in addition to the sample. */
 const HOLDER_RATIO = 0.6
 
-/** Candidate fields of a plain service. */
+/** Candidate fields of a plain service, and of a server that does not have the model of the prompt. */
 const PLAIN_SERVICE_FIELDS = {
   matchedTokens: 0,
   uncachedTokens: 0,
@@ -152,11 +152,12 @@
   prompt: PromptInfo,
   matchedTokens: number,
 ): void {
-  const readMs = (prompt.promptTokens - matchedTokens) / serviceTimes.findPrefillTokensPerMs(group)
+  const prefillMs =
+    (prompt.promptTokens - matchedTokens) / serviceTimes.findPrefillTokensPerMs(group)
   enginePartition.recordWork(
     group,
     findPromptLength(prompt),
-    readMs + prompt.maxTokens * GENERATED_TOKEN_MS,
+    prefillMs + prompt.maxTokens * GENERATED_TOKEN_MS,
   )
 }
 
@@ -199,10 +200,10 @@
   const fetch = locations.findFetchPlan(version, server, matchedTokens)
   const foundTokens = Math.max(matchedTokens, fetch?.foundTokens ?? 0)
   const uncachedTokens = prompt.promptTokens - foundTokens
-  const readMs = uncachedTokens / tokensPerMs
+  const prefillMs = uncachedTokens / tokensPerMs
   const queueMs = load.promptTokens / tokensPerMs + load.calls * RUNNING_REQUEST_MS
-  const interferenceMs = readMs * load.calls * PREFILL_INTERFERENCE_RATIO
-  const expectedMs = queueMs + readMs + interferenceMs + (fetch?.fetchMs ?? 0)
+  const interferenceMs = prefillMs * load.calls * PREFILL_INTERFERENCE_RATIO
+  const expectedMs = queueMs + prefillMs + interferenceMs + (fetch?.fetchMs ?? 0)
   let cost = expectedMs
   const recomputedTokens = Math.max(0, locations.countCachedAnywhere(version) - foundTokens)
   cost += recomputedTokens * RECOMPUTE_MS_PER_TOKEN
@@ -248,7 +249,7 @@
   return cost
 }
 
-/** Moves the candidates that are sampled for this request, preferred for it or hold its prompt before the others. */
+/** Moves candidates to the front that are sampled for this request, preferred for it or have its prompt cached. */
 function rankSampledFirst(
   ranked: readonly Candidate[],
   sharedTokens: number,
@@ -257,8 +258,10 @@
   const sampleSize = Math.max(MIN_SAMPLED, Math.ceil(ranked.length * SAMPLED_RATIO))
   const isHolder = ({ matchedTokens }: Candidate) =>
     matchedTokens > 0 && matchedTokens >= sharedTokens * HOLDER_RATIO
-  const isSelected = (candidate: Candidate, left: number, index: number) =>
-    candidate.isPreferred || isHolder(candidate) || random.next() < left / (ranked.length - index)
+  const isSelected = (candidate: Candidate, remainingPicks: number, index: number) =>
+    candidate.isPreferred ||
+    isHolder(candidate) ||
+    random.next() < remainingPicks / (ranked.length - index)
   const selected: Candidate[] = []
   const rest: Candidate[] = []
   for (const [index, candidate] of ranked.entries()) {
@@ -269,7 +272,7 @@
   return [...selected, ...rest]
 }
 
-/** Moves servers first whose rate limit is due for a probe: only an answer shows that it no longer applies. */
+/** Moves servers first whose rate limit is due for a probe: only a response shows that it no longer applies. */
 function rankProbesFirst(
   ranked: readonly Candidate[],
   isProbeDue: (id: BackendServerId) => boolean,
@@ -318,7 +321,7 @@
   const ranked = usable.map((server): Candidate => {
     const load = addLoad(serverStats.findLoad(server.id), view.loads[server.id])
     const plainMs = load.calls * plainWorkMs
-    const found =
+    const estimate =
       prompt && locations
         ? estimateEngineCost(context, input, prompt, locations, server, load, tokensPerMs)
         : { ...PLAIN_SERVICE_FIELDS, expectedMs: plainMs, cost: plainMs }
@@ -326,8 +329,8 @@
     const idlePenaltyMs = isIdleWhileShedding
       ? IDLE_WHILE_SHEDDING_MS * (1 + context.random.next())
       : 0
-    const cost = found.cost + estimateServerPenalty(context, input, server) + idlePenaltyMs
-    return { server, ...found, cost }
+    const cost = estimate.cost + estimateServerPenalty(context, input, server) + idlePenaltyMs
+    return { server, ...estimate, cost }
   })
   ranked.sort((a, b) => a.cost - b.cost || (a.server.id < b.server.id ? -1 : 1))
   const sampled = prompt
--- a/packages/router/src/direct/serverSelection.ts
+++ b/packages/router/src/direct/serverSelection.ts
@@ -7,7 +7,7 @@
 import { formatServerChoice } from './sendRecord.js'
 import { checkServerAvailability } from './serverAvailability.js'
 
-/** Greatest number of sends of one request, whatever their outcome; bounds the work for one that no server accepts. */
+/** Maximum number of sends of one request, whatever their outcome; bounds the work for one that no server accepts. */
 const MAX_SENDS = 4
 
 /** Sends of a request so far. */
@@ -16,7 +16,7 @@
   readonly sends: number
   /** Servers to which bytes of the request were sent. */
   readonly sentTo: ReadonlySet<BackendServerId>
-  /** Servers that were unreachable, or refused for a lasting reason. */
+  /** Servers that were unreachable, failed or stopped responding, or refused for a lasting reason; not tried again. */
   readonly excluded: ReadonlySet<BackendServerId>
 }
 
@@ -35,12 +35,12 @@
 /** Finds the earliest time at which a server of the group accepts requests again; now if one already does. */
 function findNextOpenAt(context: DirectContext, plan: CallPlan): number {
   const now = context.timers.now()
-  const instants = [...plan.view.servers.values()]
+  const openTimes = [...plan.view.servers.values()]
     .filter(({ group, phase }) => group === plan.group.name && phase === 'ready')
     .map(({ id }) => checkServerAvailability(context, id, now))
     .filter(({ kind }) => kind !== 'leaving')
     .map((verdict) => ('until' in verdict ? verdict.until : now))
-  return instants.length === 0 ? now : Math.min(...instants)
+  return openTimes.length === 0 ? now : Math.min(...openTimes)
 }
 
 /** Finds the Retry-After of a request that no server of the group accepts now, in seconds. */
@@ -57,7 +57,7 @@
   return { kind: 'none', retryAfterSeconds }
 }
 
-/** Refuses a generation request whose answer cannot begin before its deadline, or that no engine can serve now. */
+/** Refuses a generation request whose response cannot start before its deadline, or that no engine can serve now. */
 function findDeadlineRefusal(
   context: DirectContext,
   plan: CallPlan,
@@ -65,10 +65,13 @@
   log: CallLog,
 ): NoServer | undefined {
   const leftMs = plan.deadline - context.timers.now()
-  const seconds = findRetryAfterSeconds(cost >= LOADING_MS ? Infinity : expectedMs, leftMs)
-  if (seconds === undefined) return undefined
-  log('call.hopeless', { expectedMs, cost, leftMs, retryAfterSeconds: seconds })
-  return { kind: 'none', retryAfterSeconds: seconds }
+  const retryAfterSeconds = findRetryAfterSeconds(
+    cost >= LOADING_MS ? Infinity : expectedMs,
+    leftMs,
+  )
+  if (retryAfterSeconds === undefined) return undefined
+  log('call.hopeless', { expectedMs, cost, leftMs, retryAfterSeconds })
+  return { kind: 'none', retryAfterSeconds }
 }
 
 /** Chooses the server for the next send. */
--- a/packages/router/src/direct/serverStats.ts
+++ b/packages/router/src/direct/serverStats.ts
@@ -8,7 +8,7 @@
 
 /** A call in progress at a backend server. */
 export interface TrackedCall {
-  /** Records that the first part of the answer arrived, so the prefill is done. */
+  /** Records that the first chunk of the response arrived, so the prefill is done. */
   recordFirstChunk(): void
   /** Records activity of the server. */
   recordActivity(): void
@@ -20,11 +20,11 @@
 
 /** Statistics by backend server; see {@link createServerStats}. */
 export interface ServerStats {
-  /** Records that a call is sent, and tracks it. */
-  startCall(server: BackendServerId, promptTokens: number): TrackedCall
+  /** Starts tracking a call that is sent; `uncachedTokens` is the part of its prompt that the server has to prefill. */
+  startCall(server: BackendServerId, uncachedTokens: number): TrackedCall
   findLoad(server: BackendServerId): ServerLoad
   listLoads(): ServerLoads
-  /** Records the weights version that a server stated in an answer. */
+  /** Records the weights version that a server stated in a response. */
   recordVersion(server: BackendServerId, version: number): void
   /** Finds the highest weights version that a server was seen with; 0 for none. */
   findVersion(server: BackendServerId): number
@@ -47,34 +47,37 @@
 
   const addLoad = (server: BackendServerId, calls: number, promptTokens: number) => {
     const load = loads.get(server) ?? NO_LOAD
-    const next = { calls: load.calls + calls, promptTokens: load.promptTokens + promptTokens }
-    if (next.calls <= 0) loads.delete(server)
-    else loads.set(server, next)
+    const updatedLoad = {
+      calls: load.calls + calls,
+      promptTokens: load.promptTokens + promptTokens,
+    }
+    if (updatedLoad.calls <= 0) loads.delete(server)
+    else loads.set(server, updatedLoad)
   }
   const recordOutcome = (server: BackendServerId, outcome: CallOutcome) => {
     if (outcome === 'none') return
     const rate = failureRates.get(server) ?? 0
-    const last = outcome === 'failed' ? 1 : 0
-    failureRates.set(server, rate + FAILURE_WEIGHT * (last - rate))
+    const failure = outcome === 'failed' ? 1 : 0
+    failureRates.set(server, rate + FAILURE_WEIGHT * (failure - rate))
   }
   return {
-    startCall: (server, promptTokens) => {
-      const openedAt = timers.now()
-      let unreadTokens = promptTokens
-      let isOpen = true
-      addLoad(server, 1, promptTokens)
+    startCall: (server, uncachedTokens) => {
+      const startedAt = timers.now()
+      let tokensToPrefill = uncachedTokens
+      let isInProgress = true
+      addLoad(server, 1, uncachedTokens)
       return {
         recordFirstChunk: () => {
-          if (unreadTokens === 0 || !isOpen) return
-          addLoad(server, 0, -unreadTokens)
-          unreadTokens = 0
+          if (tokensToPrefill === 0 || !isInProgress) return
+          addLoad(server, 0, -tokensToPrefill)
+          tokensToPrefill = 0
         },
         recordActivity: () => void lastActivityAt.set(server, timers.now()),
-        hasNoServerActivity: () => (lastActivityAt.get(server) ?? -Infinity) < openedAt,
+        hasNoServerActivity: () => (lastActivityAt.get(server) ?? -Infinity) < startedAt,
         finish: (outcome) => {
-          if (!isOpen) return
-          isOpen = false
-          addLoad(server, -1, -unreadTokens)
+          if (!isInProgress) return
+          isInProgress = false
+          addLoad(server, -1, -tokensToPrefill)
           recordOutcome(server, outcome)
         },
       }
--- a/packages/router/src/direct/serviceTimes.ts
+++ b/packages/router/src/direct/serviceTimes.ts
@@ -6,9 +6,9 @@
 
 /** Estimated service times; see {@link createServiceTimes}. */
 export interface ServiceTimes {
-  /** Records a prefill by its tokens and the time from the send to the first part of the answer, in ms. */
+  /** Records a prefill by its tokens and the time from the send to the first chunk of the response, in ms. */
   recordPrefill(group: string, tokens: number, ms: number): void
-  /** Records a request to a plain service by the time from the send to the answer, in ms. */
+  /** Records a request to a plain service by the time from the send to the complete response, in ms. */
   recordPlainRequest(group: string, ms: number): void
   /** Prompt tokens that an engine of the group prefills per ms. */
   findPrefillTokensPerMs(group: string): number
@@ -18,9 +18,9 @@
 
 /** Samples kept for each group: a few seconds of a busy router, so that changes show soon. */
 const MAX_SAMPLES = 40
-/** Least samples for an estimate; the initial values apply before. */
+/** Minimum number of samples for an estimate; with fewer, the initial values apply. */
 const MIN_SAMPLES = 4
-/** Least prefilled tokens of a sample; below, engine steps rather than the prefill determine the first part. */
+/** Minimum number of prefilled tokens in a sample; with fewer, engine steps dominate the time to the first chunk. */
 const MIN_PREFILL_TOKENS = 500
 /** Prefill rate assumed until there are samples; engines prefill from tens to hundreds of tokens per ms. */
 const INITIAL_TOKENS_PER_MS = 50
--- a/packages/router/src/direct/sseEventBuffer.ts
+++ b/packages/router/src/direct/sseEventBuffer.ts
@@ -4,7 +4,7 @@
 export interface SseEventBuffer {
   /** Adds bytes; returns the buffered bytes up to the end of the last complete event. */
   add(chunk: Buffer): Buffer
-  /** Id of the last complete event that was returned; undefined before the first. */
+  /** ID of the last complete event that was returned; undefined before the first. */
   lastEventId(): string | undefined
   /** Whether the buffer holds the start of an incomplete event. */
   hasPartialEvent(): boolean
@@ -30,9 +30,10 @@
       const end = findLastEventEnd(data)
       pending = data.subarray(end)
       if (end === 0) return EMPTY
-      const whole = data.subarray(0, end)
-      for (const match of whole.toString('latin1').matchAll(EVENT_ID)) lastEventId = match[1].trim()
-      return whole
+      const completeEvents = data.subarray(0, end)
+      for (const match of completeEvents.toString('latin1').matchAll(EVENT_ID))
+        lastEventId = match[1].trim()
+      return completeEvents
     },
     lastEventId: () => lastEventId,
     hasPartialEvent: () => pending.length > 0,
