--- a/packages/control/src/client/configFollower.ts
+++ b/packages/control/src/client/configFollower.ts
@@ -1,7 +1,7 @@
 /**
- * Follows the fleet configuration. One task long-polls control; whenever a message from another
- * process carries a higher version, the follower fetches from that process at once. Versions only
- * rise, and a patch is used only when the result has the hash that was announced.
+ * Keeps the fleet configuration of a node up to date. A background task long-polls the control instances. When a
+ * message from another process carries a higher version, the follower fetches the configuration from that process
+ * immediately. Versions never decrease, and a patched configuration is installed only when its hash matches.
  */
 import { resolveFleetConfig, type Fleet, type FleetConfigInput } from '@spoolgate/config'
 import {
@@ -17,13 +17,13 @@
 } from '@spoolgate/core'
 import { BehaviorSubject, firstValueFrom, filter, map, race, type Observable } from 'rxjs'
 import type { ConfigUpdate } from '../state/configState.js'
-import { applyPatch, hashFleet, toNormalForm } from '../state/fleetPatch.js'
+import { applyFleetPatch, hashFleet, toCanonicalForm } from '../state/fleetPatch.js'
 
 /** Options of {@link createConfigFollower}. */
 export interface ConfigFollowerOptions {
   /** Name under which control lists this node. */
   readonly node: string
-  /** URLs of control instances, and of any peers, that serve the configuration. */
+  /** URLs of control instances and of any peers that serve the configuration. */
   readonly sources: readonly string[]
   readonly client: HttpClient
   readonly timers: TimerService
@@ -31,39 +31,39 @@
   readonly invariants: Invariants
 }
 
-/** A follower of the configuration. */
+/** See {@link createConfigFollower}. */
 export interface ConfigFollower {
-  /** The configuration in force here; undefined before the first was fetched. */
+  /** Configuration in force on this node; undefined until the first one is installed. */
   current(): Fleet | undefined
-  /** Emits the configuration in force and each later one. */
+  /** Emits the configuration in force, if any, and each later one. */
   readonly changes: Observable<Fleet>
-  /** Version in force here; -1 before the first. */
+  /** Version in force on this node; -1 until the first one is installed. */
   version(): number
-  /** Notes that another process runs `version`; fetches from it when it is ahead. */
-  noteVersion(version: number, url: string): void
-  /** Waits until `version` is in force here; false when it took too long. */
+  /** Reports the version of another process; fetches the configuration from it when that version is newer. */
+  observeVersion(version: number, url: string): void
+  /** Waits until `version` or a later one is in force on this node; resolves to false on timeout. */
   waitForVersion(version: number, timeoutMs: number): Promise<boolean>
-  /** Routes by which this node serves the configuration to others. */
+  /** Creates the routes through which this node serves the configuration to peers. */
   createRoutes(processKey: string): Route[]
   close(): Promise<void>
 }
 
-type ConfigAnswer = ConfigUpdate | { readonly kind: 'current'; readonly version: number }
+type ConfigReply = ConfigUpdate | { readonly kind: 'current'; readonly version: number }
 
-const POLL_MS = 25_000
-const POLL_TIMEOUT_MS = POLL_MS + 5_000
+const POLL_WAIT_MS = 25_000
+const POLL_TIMEOUT_MS = POLL_WAIT_MS + 5_000
 const FETCH_TIMEOUT_MS = 3_000
 const RETRY_DELAY_MS = 200
 const NO_VERSION = -1
 
-/** Creates a follower and starts to poll. */
+/** Creates a follower and starts polling. */
 export function createConfigFollower(options: ConfigFollowerOptions): ConfigFollower {
   const { client, timers, logger, invariants, sources } = options
   const stopping = new AbortController()
   const fleets = new BehaviorSubject<Fleet | undefined>(undefined)
   const changes = fleets.pipe(filter((fleet): fleet is Fleet => fleet !== undefined))
-  let source: FleetConfigInput = toNormalForm({})
-  let fetching: Promise<void> | undefined
+  let source: FleetConfigInput = toCanonicalForm({})
+  let fetchInProgress: Promise<void> | undefined
 
   const version = () => fleets.value?.version ?? NO_VERSION
   const install = (next: FleetConfigInput, at: number) => {
@@ -79,13 +79,13 @@
     fleets.next(resolved.value)
     logger.info('config.inForce', { version: at })
   }
-  const applyUpdate = (update: ConfigAnswer): boolean => {
+  const applyUpdate = (update: ConfigReply): boolean => {
     if (update.kind === 'current') return true
     if (update.kind === 'whole') {
-      install(toNormalForm(update.source), update.version)
+      install(toCanonicalForm(update.source), update.version)
       return true
     }
-    const next = update.patches.reduce(applyPatch, source)
+    const next = update.patches.reduce(applyFleetPatch, source)
     if (hashFleet(next) !== update.hash) return false
     install(next, update.version)
     return true
@@ -94,7 +94,7 @@
     const after = version()
     const query = `after=${after}&wait=${waitMs}&node=${encodeURIComponent(options.node)}`
     const fetchAfter = (path: string) =>
-      client.sendJson<ConfigAnswer>({
+      client.sendJson<ConfigReply>({
         method: 'GET',
         url: `${url}/config?${path}`,
         timeoutMs,
@@ -107,12 +107,12 @@
     }
   }
   const poll = async () => {
-    for (let turn = 0; !stopping.signal.aborted;) {
+    for (let sourceIndex = 0; !stopping.signal.aborted;) {
       try {
-        const waitMs = version() === NO_VERSION ? 0 : POLL_MS
-        await fetchFrom(sources[turn % sources.length], waitMs, POLL_TIMEOUT_MS)
+        const waitMs = version() === NO_VERSION ? 0 : POLL_WAIT_MS
+        await fetchFrom(sources[sourceIndex % sources.length], waitMs, POLL_TIMEOUT_MS)
       } catch {
-        turn += 1
+        sourceIndex += 1
         await waitFor(timers, RETRY_DELAY_MS, stopping.signal)
       }
     }
@@ -131,12 +131,12 @@
     current: () => fleets.value,
     changes,
     version,
-    noteVersion: (seen, url) => {
-      if (seen <= version() || fetching) return
-      fetching = fetchFrom(url, 0, FETCH_TIMEOUT_MS)
+    observeVersion: (seen, url) => {
+      if (seen <= version() || fetchInProgress) return
+      fetchInProgress = fetchFrom(url, 0, FETCH_TIMEOUT_MS)
         .catch((cause) => logger.debug('config.fetchFailed', { url, reason: String(cause) }))
         .finally(() => {
-          fetching = undefined
+          fetchInProgress = undefined
         })
     },
     waitForVersion: (wanted, timeoutMs) => {
--- a/packages/control/src/client/controlClient.ts
+++ b/packages/control/src/client/controlClient.ts
@@ -1,4 +1,4 @@
-/** Client of the control group: finds the leader and tries again while leadership changes. */
+/** Client of the control group. It finds the leader and retries requests during leadership changes. */
 import {
   ConnectionError,
   SpoolgateError,
@@ -10,12 +10,12 @@
 
 /** Options of {@link createControlClient}. */
 export interface ControlClientOptions {
-  /** URLs of the members. */
+  /** URLs of the group members. */
   readonly urls: readonly string[]
   readonly client: HttpClient
   readonly timers: TimerService
   /**
-   * Longest time for one command with all tries, in ms.
+   * Maximum time for one request including all retries, in ms.
    * @default 5000
    */
   readonly timeoutMs?: number
@@ -24,8 +24,8 @@
 /** Sends commands and requests to the leader. */
 export interface ControlClient {
   /**
-   * Sends a command; commands may be tried again, so they must be safe to repeat.
-   * @throws SpoolgateError `controlUnavailable` when no leader answered in time.
+   * Sends a command. Commands may be retried, so they must be idempotent.
+   * @throws SpoolgateError `controlUnavailable` when no leader responded in time.
    */
   send<Kind extends ControlCommandKind>(
     command: Omit<ControlCommands[Kind]['command'], 'at' | 'kind'> & { readonly kind: Kind },
@@ -35,42 +35,42 @@
 }
 
 const DEFAULT_TIMEOUT_MS = 5_000
-const TRY_TIMEOUT_MS = 2_000
+const ATTEMPT_TIMEOUT_MS = 2_000
 const RETRY_DELAY_MS = 50
 
-/** Creates a client. */
+/** Creates a client of the control group. */
 export function createControlClient(options: ControlClientOptions): ControlClient {
   const { urls, client, timers } = options
-  let preferred = urls[0]
+  let preferredUrl = urls[0]
 
   const findNextUrl = (failed: string): string => {
     const index = urls.indexOf(failed)
     return urls[(index + 1) % urls.length]
   }
-  /** Decides where to try next; rethrows what another try cannot fix. */
-  const handleFailure = (cause: unknown, tried: string) => {
+  /** Selects the URL of the next attempt; rethrows errors that a retry cannot resolve. */
+  const handleFailure = (cause: unknown, failedUrl: string) => {
     if (cause instanceof ConnectionError) {
-      preferred = findNextUrl(tried)
+      preferredUrl = findNextUrl(failedUrl)
       return
     }
-    const isPassing =
+    const isTransient =
       cause instanceof SpoolgateError &&
       (cause.kind === 'notLeader' || cause.kind === 'controlUnavailable')
-    if (!isPassing) throw cause
+    if (!isTransient) throw cause
     const details = cause.details as { leaderUrl?: string } | undefined
-    preferred = details?.leaderUrl ?? findNextUrl(tried)
+    preferredUrl = details?.leaderUrl ?? findNextUrl(failedUrl)
   }
   const request = async <T>(method: string, path: string, json?: unknown): Promise<T> => {
     const deadline = timers.now() + (options.timeoutMs ?? DEFAULT_TIMEOUT_MS)
     while (timers.now() < deadline) {
-      const tried = preferred
-      const timeoutMs = Math.min(TRY_TIMEOUT_MS, Math.max(1, deadline - timers.now()))
+      const url = preferredUrl
+      const timeoutMs = Math.min(ATTEMPT_TIMEOUT_MS, Math.max(1, deadline - timers.now()))
       try {
-        return await client.sendJson<T>({ method, url: `${tried}${path}`, json, timeoutMs })
+        return await client.sendJson<T>({ method, url: `${url}${path}`, json, timeoutMs })
       } catch (cause) {
-        handleFailure(cause, tried)
+        handleFailure(cause, url)
       }
-      if (preferred === tried || urls.length > 1) await waitFor(timers, RETRY_DELAY_MS)
+      if (preferredUrl === url || urls.length > 1) await waitFor(timers, RETRY_DELAY_MS)
     }
     throw new SpoolgateError('controlUnavailable', 'no control leader answered; try again later', {
       notRun: false,
--- a/packages/control/src/state/weightsState.ts
+++ b/packages/control/src/state/weightsState.ts
@@ -1,42 +1,42 @@
-/** The part of the replicated state that holds the wanted weights version of each model. */
+/** Replicated target weights version of each model. */
 
-/** Names the weights version that a model should have. */
-export interface NameWeights {
+/** Sets the target weights version of a model; lower versions are ignored. */
+export interface SetWeightsVersion {
   readonly kind: 'weights.name'
   readonly model: string
   readonly version: number
 }
 
-/** What became of {@link NameWeights}. */
-export interface NameWeightsResult {
-  /** Version wanted afterwards; versions only rise. */
+/** Result of {@link SetWeightsVersion}. */
+export interface SetWeightsVersionResult {
+  /** Target version after the command; it never decreases. */
   readonly version: number
 }
 
-/** Wanted weights versions by model. */
+/** Target weights versions by model. */
 export interface WeightsState {
   find(model: string): number | undefined
   list(): Readonly<Record<string, number>>
-  name(command: NameWeights): NameWeightsResult
+  raiseVersion(command: SetWeightsVersion): SetWeightsVersionResult
   save(): Readonly<Record<string, number>>
   load(saved: Readonly<Record<string, number>>): void
 }
 
-/** Creates a state without any named version. */
+/** Creates a state without target versions. */
 export function createWeightsState(): WeightsState {
-  const wanted = new Map<string, number>()
+  const targetVersions = new Map<string, number>()
   return {
-    find: (model) => wanted.get(model),
-    list: () => Object.fromEntries(wanted),
-    name: ({ model, version }) => {
-      const highest = Math.max(version, wanted.get(model) ?? version)
-      wanted.set(model, highest)
+    find: (model) => targetVersions.get(model),
+    list: () => Object.fromEntries(targetVersions),
+    raiseVersion: ({ model, version }) => {
+      const highest = Math.max(version, targetVersions.get(model) ?? version)
+      targetVersions.set(model, highest)
       return { version: highest }
     },
-    save: () => Object.fromEntries(wanted),
+    save: () => Object.fromEntries(targetVersions),
     load: (saved) => {
-      wanted.clear()
-      for (const [model, version] of Object.entries(saved)) wanted.set(model, version)
+      targetVersions.clear()
+      for (const [model, version] of Object.entries(saved)) targetVersions.set(model, version)
     },
   }
 }
--- a/packages/router/src/__tests__/quotaSimulation.ts
+++ b/packages/router/src/__tests__/quotaSimulation.ts
@@ -1,6 +1,6 @@
 /**
- * A team with a limit in virtual time: routers that callers reach unevenly, a leader, delays, and what fails. Admission is the product's own
- * in the way `credits`; the other ways are what it is compared with.
+ * Simulates a team quota in virtual time: routers with uneven traffic, a leader, network delays and faults. The strategy
+ * `credits` uses the real quota admission; the others serve as a comparison.
  */
 import { createRandomSource, type RandomSource } from '@spoolgate/core'
 import type { TeamQuota } from '@spoolgate/routing'
@@ -12,17 +12,17 @@
   type SharingStrategy,
 } from './quotaStrategies.js'
 
-/** What happens to a part of the fleet for some time. */
+/** A temporary fault of some routers. */
 export interface SimulatedFault {
-  /** `cut` routers serve without reaching the leader; `frozen` ones stand still, and go on with what has arrived. */
+  /** `cut` routers cannot reach the leader; `frozen` ones are suspended and then process what has arrived. */
   readonly kind: 'cut' | 'frozen' | 'noLeader' | 'restart'
   readonly atMs: number
   readonly durationMs: number
-  /** Routers that it hits, from the first on. */
+  /** Number of affected routers, from the first one. */
   readonly routers?: number
 }
 
-/** How callers are spread over routers. */
+/** Distribution of requests over routers. */
 export type Spread = 'even' | 'few' | 'moving'
 
 /** Options of {@link runQuotaSimulation}. */
@@ -30,41 +30,41 @@
   readonly seed: number
   readonly routers: number
   readonly quota: TeamQuota
-  /** Demand as a part of the limit's rate. */
+  /** Demand as a fraction of the quota's rate. */
   readonly demand: number
-  /** Smallest and largest cost of a request; logarithms are spread evenly. */
+  /** Minimum and maximum cost of a request; costs are log-uniformly distributed. */
   readonly costs: readonly [least: number, most: number]
   readonly spread: Spread
   readonly durationMs: number
   readonly faults?: readonly SimulatedFault[]
-  /** Time in which the demand is another part of the limit's rate. */
+  /** Period with a different demand, as a fraction of the quota's rate. */
   readonly surge?: { readonly atMs: number; readonly durationMs: number; readonly demand: number }
   readonly quotaChange?: { readonly atMs: number; readonly quota: TeamQuota }
   /** @default credits */
   readonly strategy?: SharingStrategy
 }
 
-/** What was observed. */
+/** Result of a simulation. */
 export interface QuotaSimulationResult {
-  /** Most that ran in any window, as a part of rate and burst. */
+  /** Maximum cost admitted in any window, as a fraction of rate and burst. */
   readonly maxWindowRatio: number
-  /** The same as a part of what the tolerance allows. */
+  /** The same as a fraction of what the tolerance allows. */
   readonly maxToleratedRatio: number
-  /** Cost that ran, as a part of what the rate and one burst allow. */
+  /** Admitted cost, as a fraction of the rate and one burst. */
   readonly usedRatio: number
-  /** Cost that was refused, as a part of the demand. */
+  /** Refused cost, as a fraction of the demand. */
   readonly refusedRatio: number
-  /** Messages to the leader a second and router. */
+  /** Messages to the leader per second and router. */
   readonly messagesPerS: number
-  /** Bytes of reports and grants a second and router. */
+  /** Bytes of reports and grants per second and router. */
   readonly bytesPerS: number
 }
 
 const WARM_UP_MS = 1_000
-const DELAY_MS = 2
+const NETWORK_DELAY_MS = 2
 const FIRST_POLL_MS = 100
 const MS_PER_S = 1_000
-/** Routers that callers reach where they are spread over few. */
+/** Number of routers that receive requests unless the spread is even. */
 const FEW_ROUTERS = 3
 
 function drawRouter(
@@ -78,22 +78,25 @@
   return (first + random.nextInt(few)) % routers
 }
 
-function findWorst(runs: readonly { at: number; cost: number }[], windowMs: number): number {
-  let worst = 0
+function findMaxWindowCost(
+  admitted: readonly { at: number; cost: number }[],
+  windowMs: number,
+): number {
+  let maxWindowCost = 0
   let sum = 0
   let first = 0
-  for (const { at, cost } of runs) {
+  for (const { at, cost } of admitted) {
     sum += cost
-    while (runs[first].at <= at - windowMs) {
-      sum -= runs[first].cost
+    while (admitted[first].at <= at - windowMs) {
+      sum -= admitted[first].cost
       first += 1
     }
-    worst = Math.max(worst, sum)
+    maxWindowCost = Math.max(maxWindowCost, sum)
   }
-  return worst
+  return maxWindowCost
 }
 
-/** Runs one simulation; the same options give the same figures. */
+/** Runs one simulation; the same options give the same result. */
 export async function runQuotaSimulation(
   options: QuotaSimulationOptions,
 ): Promise<QuotaSimulationResult> {
@@ -103,55 +106,58 @@
   const { at, timers } = clock
   const findQuota = () =>
     quotaChange && timers.now() >= quotaChange.atMs ? quotaChange.quota : options.quota
-  const isHit = (kind: SimulatedFault['kind'], router: number) =>
+  const isFaultActive = (kind: SimulatedFault['kind'], router: number) =>
     faults.some((fault) => {
-      const isNow = timers.now() >= fault.atMs && timers.now() < fault.atMs + fault.durationMs
-      return fault.kind === kind && isNow && router < (fault.routers ?? routers)
+      const isInProgress =
+        timers.now() >= fault.atMs && timers.now() < fault.atMs + fault.durationMs
+      return fault.kind === kind && isInProgress && router < (fault.routers ?? routers)
     })
   const isReachable = (router: number) =>
-    !isHit('noLeader', router) && !isHit('cut', router) && !isHit('frozen', router)
+    !isFaultActive('noLeader', router) &&
+    !isFaultActive('cut', router) &&
+    !isFaultActive('frozen', router)
   const strategy = STRATEGIES[options.strategy ?? 'credits']({
-    clock: clock,
+    clock,
     options,
     findQuota,
     isReachable,
   })
-  for (const { kind, atMs, durationMs: faultMs, routers: hit = routers } of faults) {
+  for (const { kind, atMs, durationMs: faultMs, routers: affected = routers } of faults) {
     if (kind === 'noLeader') at(atMs + faultMs, strategy.newTerm)
     if (kind !== 'restart') continue
-    for (let router = 0; router < hit; router += 1) at(atMs, () => strategy.restart(router))
+    for (let router = 0; router < affected; router += 1) at(atMs, () => strategy.restart(router))
     at(atMs, strategy.newTerm)
   }
   const poll = (router: number) => {
     strategy.poll(router)
-    at(timers.now() + findPollIntervalMs(options) + 2 * DELAY_MS, () => poll(router))
+    at(timers.now() + findPollIntervalMs(options) + 2 * NETWORK_DELAY_MS, () => poll(router))
   }
   for (let router = 0; router < routers; router += 1)
     at(1 + random.nextInt(FIRST_POLL_MS), () => poll(router))
 
-  const [least, most] = costs
-  const drawCost = () => Math.round(least * (most / least) ** random.next())
-  const meanCost = most === least ? least : (most - least) / Math.log(most / least)
+  const [minCost, maxCost] = costs
+  const drawCost = () => Math.round(minCost * (maxCost / minCost) ** random.next())
+  const meanCost = maxCost === minCost ? minCost : (maxCost - minCost) / Math.log(maxCost / minCost)
   const findDemand = () => {
     const { surge } = options
-    const isSurge =
+    const isSurging =
       surge && timers.now() >= surge.atMs && timers.now() < surge.atMs + surge.durationMs
-    return isSurge ? surge.demand : options.demand
+    return isSurging ? surge.demand : options.demand
   }
   const findGapMs = () => (meanCost / (options.quota.perSecond * findDemand())) * MS_PER_S
-  const runs: { at: number; cost: number }[] = []
-  let asked = 0
-  let refused = 0
+  const admitted: { at: number; cost: number }[] = []
+  let demandedCost = 0
+  let refusedCost = 0
   const serve = async (router: number, cost: number) => {
-    asked += cost
-    if (await strategy.admit(router, cost)) runs.push({ at: timers.now(), cost })
-    else refused += cost
+    demandedCost += cost
+    if (await strategy.admit(router, cost)) admitted.push({ at: timers.now(), cost })
+    else refusedCost += cost
   }
   const startCall = (router: number) => {
     const cost = drawCost()
-    // A frozen router takes what arrived once it wakes.
+    // A frozen router processes its requests when it resumes.
     const [freeze] = faults.filter(({ kind }) => kind === 'frozen')
-    if (freeze && isHit('frozen', router))
+    if (freeze && isFaultActive('frozen', router))
       at(freeze.atMs + freeze.durationMs, () => void serve(router, cost))
     else void serve(router, cost)
   }
@@ -163,16 +169,16 @@
   at(WARM_UP_MS, () => arrive(WARM_UP_MS))
   await clock.run(WARM_UP_MS + durationMs)
 
-  const ran = runs.reduce((sum, { cost }) => sum + cost, 0)
+  const admittedCost = admitted.reduce((sum, { cost }) => sum + cost, 0)
   const { perSecond, burst } = options.quota
-  const worst = findWorst(runs, TOLERANCE.windowMs)
-  const inWindow = (perSecond * TOLERANCE.windowMs) / MS_PER_S + burst
+  const maxWindowCost = findMaxWindowCost(admitted, TOLERANCE.windowMs)
+  const allowedCost = (perSecond * TOLERANCE.windowMs) / MS_PER_S + burst
   const seconds = (WARM_UP_MS + durationMs) / MS_PER_S
   return {
-    maxWindowRatio: worst / inWindow,
-    maxToleratedRatio: worst / (inWindow * (1 + TOLERANCE.ratio) + TOLERANCE.slack),
-    usedRatio: ran / ((perSecond * durationMs) / MS_PER_S + burst),
-    refusedRatio: refused / asked,
+    maxWindowRatio: maxWindowCost / allowedCost,
+    maxToleratedRatio: maxWindowCost / (allowedCost * (1 + TOLERANCE.ratio) + TOLERANCE.slack),
+    usedRatio: admittedCost / ((perSecond * durationMs) / MS_PER_S + burst),
+    refusedRatio: refusedCost / demandedCost,
     messagesPerS: strategy.messages() / seconds / routers,
     bytesPerS: strategy.bytes() / seconds / routers,
   }
