--- a/eslint.config.js
+++ b/eslint.config.js
@@ -6,9 +6,7 @@
   'admit',
   'append',
   'apply',
-  'ask',
   'assert',
-  'bar',
   'build',
   'cancel',
   'check',
@@ -44,7 +42,6 @@
   'observe',
   'open',
   'parse',
-  'presume',
   'print',
   'rank',
   'read',
@@ -88,6 +85,12 @@
   [/\bput aside\b|putAside/i, 'rejected'],
   [/\b(Rest|[A-Z]\w+)Word\b/, 'signal'],
   [/\bPlayed[A-Z]|[a-z]Play\b/, 'simulated, simulation'],
+  [/\b(bear(s|ing)?|borne)\b/, 'tolerate'],
+  [/\bdecider\b/i, 'selector'],
+  [/\bguess(es)?\b/i, 'estimate'],
+  [/\bjoin(s|ed)? anew\b/, 'rejoin'],
+  [/\bsigns? of life\b/, 'activity'],
+  [/[a-z]Keeper\b/, 'manager'],
 ]
 
 /** Reports terms that the project does not use. */
