--- a/packages/router/src/__tests__/quarantineSimulation.spec.ts
+++ b/packages/router/src/__tests__/quarantineSimulation.spec.ts
@@ -56,7 +56,7 @@
   it('stay quarantined when the leader changes and all routers restart, at any time', async () => {
     for (let seed = 1; seed <= 12; seed += 1) {
       const at = 250 * seed
-      const changes = { leaderChanges: [at, at + 3_000], routerStarts: [at + 100, at + 6_000] }
+      const changes = { leaderChanges: [at, at + 3_000], routerRestarts: [at + 100, at + 6_000] }
       const countedFrom = at + 6_000 + RECOVERY_MS
       const durationMs = countedFrom + 10_000
       const simulation = { ...SMALL, ...changes, seed, countedFrom, durationMs }
