--- a/packages/control/src/registry/weightsRollout.ts
+++ b/packages/control/src/registry/weightsRollout.ts
@@ -113,7 +113,7 @@
     orderCount = 0
     leases.startLeading()
   }
-  const createFencingToken = (term: number) => {
+  const createFencingNumber = (term: number) => {
     orderCount += 1
     return term * ORDERS_PER_TERM + orderCount
   }
@@ -148,7 +148,7 @@
       model: task.model,
       version,
       issuer: options.instance,
-      fencing: createFencingToken(term),
+      fencing: createFencingNumber(term),
       keepsRunningRequests: report.running > 0,
       expectedOrders: report.ordersTaken,
     }
